--- a/crates/core/src/direct/message.rs
+++ b/crates/core/src/direct/message.rs
@@ -9,9 +9,9 @@
 use strum::EnumIter;
 use strum::IntoStaticStr;
 
-use crate::direct::facts::Delta;
 use crate::direct::load_report::LoadReport;
 use crate::direct::segment::FlowHash;
+use crate::direct::store_entries::Delta;
 use crate::membership::ViewDigest;
 use crate::message::MemberUpdate;
 use crate::message::Sequence;
--- a/crates/core/src/direct/mod.rs
+++ b/crates/core/src/direct/mod.rs
@@ -4,7 +4,7 @@
 //! the flow. So nothing has to be agreed on about open flows, and what is left to decide is where a SYN goes.
 //!
 //! - [`steering`] decides about each packet; [`segment`] is what it sees of one.
-//! - [`directory`] is what the store says, in [`facts`] that instances pass on to each other; [`routes`] is the
+//! - [`directory`] is what the store says, in [`store_entries`] that instances pass on to each other; [`routes`] is the
 //!   configuration in it.
 //! - [`placement`] picks a target, by [`work`] (what targets hold, told between instances in [`load_report`]), [`outlier`]
 //!   and [`domain_reach`] (which seem not to answer, single ones and whole failure domains), [`failures`] (which answer with
@@ -26,7 +26,6 @@
 pub mod decision;
 pub mod directory;
 pub mod domain_reach;
-pub mod facts;
 pub mod failures;
 pub mod fleet;
 pub mod flows;
@@ -46,5 +45,6 @@
 pub mod starting;
 pub mod steering;
 pub mod stopping;
+pub mod store_entries;
 pub mod watch;
 pub mod work;
--- a/crates/core/src/direct/routes.rs
+++ b/crates/core/src/direct/routes.rs
@@ -9,11 +9,11 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
 
-use crate::direct::facts::Fact;
-use crate::direct::facts::Route;
-use crate::direct::facts::Routing;
-use crate::direct::facts::RoutingChange;
-use crate::direct::facts::Versioned;
+use crate::direct::store_entries::Fact;
+use crate::direct::store_entries::Route;
+use crate::direct::store_entries::Routing;
+use crate::direct::store_entries::RoutingChange;
+use crate::direct::store_entries::Versioned;
 use crate::maps::Map;
 use hawthornshift_model::Revision;
 
--- a/crates/core/src/direct/steering/opening.rs
+++ b/crates/core/src/direct/steering/opening.rs
@@ -16,7 +16,6 @@
 use crate::direct::decision::Decision;
 use crate::direct::decision::Outcome;
 use crate::direct::directory::cookie;
-use crate::direct::facts::Route;
 use crate::direct::flows::Flow;
 use crate::direct::flows::Opening;
 use crate::direct::flows::Stage;
@@ -29,6 +28,7 @@
 use crate::direct::segment::FlowId;
 use crate::direct::segment::Segment;
 use crate::direct::segment::SegmentKind;
+use crate::direct::store_entries::Route;
 use crate::rendezvous;
 use hawthornshift_model::TargetId;
 
--- a/crates/core/src/direct/steering/resetting.rs
+++ b/crates/core/src/direct/steering/resetting.rs
@@ -12,7 +12,6 @@
 use crate::direct::decision::Outcome;
 use crate::direct::directory::Standing;
 use crate::direct::directory::cookie;
-use crate::direct::facts::RequestKind;
 use crate::direct::flows::Stage;
 use crate::direct::load_report::LoadReport;
 use crate::direct::mechanisms::Mechanism;
@@ -22,6 +21,7 @@
 use crate::direct::segment::FlowId;
 use crate::direct::segment::Segment;
 use crate::direct::segment::SegmentKind;
+use crate::direct::store_entries::RequestKind;
 use crate::rendezvous;
 use hawthornshift_model::TargetId;
 
--- a/crates/core/tests/direct/directory.rs
+++ b/crates/core/tests/direct/directory.rs
@@ -17,10 +17,10 @@
 use hawthornshift_core::Timestamp;
 use hawthornshift_core::direct::directory::Directory;
 use hawthornshift_core::direct::directory::cookie;
-use hawthornshift_core::direct::facts::Delta;
-use hawthornshift_core::direct::facts::Fact;
-use hawthornshift_core::direct::facts::Routing;
-use hawthornshift_core::direct::facts::Versioned;
+use hawthornshift_core::direct::store_entries::Delta;
+use hawthornshift_core::direct::store_entries::Fact;
+use hawthornshift_core::direct::store_entries::Routing;
+use hawthornshift_core::direct::store_entries::Versioned;
 
 /// What of a directory decides: targets that may get flows, domains that are out, the configuration.
 fn picture(directory: &Directory) -> (Vec<(u64, bool)>, Vec<bool>, u64) {
--- a/crates/core/tests/direct/load.rs
+++ b/crates/core/tests/direct/load.rs
@@ -6,9 +6,9 @@
 use crate::fleet::domain;
 use crate::fleet::ms;
 use crate::fleet::target_id;
-use hawthornshift_core::direct::facts::Delta;
-use hawthornshift_core::direct::facts::Fact;
-use hawthornshift_core::direct::facts::Versioned;
+use hawthornshift_core::direct::store_entries::Delta;
+use hawthornshift_core::direct::store_entries::Fact;
+use hawthornshift_core::direct::store_entries::Versioned;
 
 /// Half of what 14 targets with 2 slots can do.
 const USUAL: f64 = 425.0;
--- a/crates/core/tests/direct/readiness.rs
+++ b/crates/core/tests/direct/readiness.rs
@@ -6,13 +6,13 @@
 use crate::fleet::ms;
 use crate::fleet::whole;
 use hawthornshift_core::Timestamp;
-use hawthornshift_core::direct::facts::Delta;
-use hawthornshift_core::direct::facts::Fact;
-use hawthornshift_core::direct::facts::Versioned;
 use hawthornshift_core::direct::mechanisms::Mechanisms;
 use hawthornshift_core::direct::readiness::Readiness;
 use hawthornshift_core::direct::steering::Steering;
 use hawthornshift_core::direct::steering::SteeringConfig;
+use hawthornshift_core::direct::store_entries::Delta;
+use hawthornshift_core::direct::store_entries::Fact;
+use hawthornshift_core::direct::store_entries::Versioned;
 
 /// Returns an instance whose own failure domain is taken out.
 fn with_nothing_of_its_own() -> Steering {
--- a/crates/core/tests/direct/routes.rs
+++ b/crates/core/tests/direct/routes.rs
@@ -15,14 +15,14 @@
 
 use crate::fleet::SERVICE;
 use hawthornshift_core::direct::directory::Directory;
-use hawthornshift_core::direct::facts::Delta;
-use hawthornshift_core::direct::facts::Fact;
-use hawthornshift_core::direct::facts::RequestKind;
-use hawthornshift_core::direct::facts::Route;
-use hawthornshift_core::direct::facts::Routing;
-use hawthornshift_core::direct::facts::ServiceFacts;
-use hawthornshift_core::direct::facts::Share;
-use hawthornshift_core::direct::facts::Versioned;
+use hawthornshift_core::direct::store_entries::Delta;
+use hawthornshift_core::direct::store_entries::Fact;
+use hawthornshift_core::direct::store_entries::RequestKind;
+use hawthornshift_core::direct::store_entries::Route;
+use hawthornshift_core::direct::store_entries::Routing;
+use hawthornshift_core::direct::store_entries::ServiceFacts;
+use hawthornshift_core::direct::store_entries::Share;
+use hawthornshift_core::direct::store_entries::Versioned;
 use hawthornshift_model::Revision;
 
 const INSTANCES: usize = 4;
--- a/crates/core/tests/direct/rules.rs
+++ b/crates/core/tests/direct/rules.rs
@@ -19,10 +19,6 @@
 use hawthornshift_core::direct::decision::Decision;
 use hawthornshift_core::direct::decision::Outcome;
 use hawthornshift_core::direct::directory::cookie;
-use hawthornshift_core::direct::facts::Delta;
-use hawthornshift_core::direct::facts::Fact;
-use hawthornshift_core::direct::facts::Routing;
-use hawthornshift_core::direct::facts::Versioned;
 use hawthornshift_core::direct::load_report::LoadReport;
 use hawthornshift_core::direct::load_report::OpenRequest;
 use hawthornshift_core::direct::mechanisms::Mechanisms;
@@ -36,6 +32,10 @@
 use hawthornshift_core::direct::steering::Packet;
 use hawthornshift_core::direct::steering::Steering;
 use hawthornshift_core::direct::steering::SteeringConfig;
+use hawthornshift_core::direct::store_entries::Delta;
+use hawthornshift_core::direct::store_entries::Fact;
+use hawthornshift_core::direct::store_entries::Routing;
+use hawthornshift_core::direct::store_entries::Versioned;
 
 fn steering() -> Steering {
     Steering::new(SteeringConfig {
--- a/crates/direct/src/peers.rs
+++ b/crates/direct/src/peers.rs
@@ -14,11 +14,11 @@
 
 use hawthornshift_adapters::http_client::Call;
 use hawthornshift_adapters::http_client::ExchangeError;
-use hawthornshift_core::direct::facts::Delta;
 use hawthornshift_core::direct::message::Frame;
 use hawthornshift_core::direct::message::FrameKind;
 use hawthornshift_core::direct::message::Handover;
 use hawthornshift_core::direct::message::MAX_DATAGRAM_BYTES;
+use hawthornshift_core::direct::store_entries::Delta;
 use hawthornshift_model::Revision;
 
 /// Version of the messages; others are dropped, so that a rolling upgrade never misreads one.
--- a/crates/direct/src/process/news.rs
+++ b/crates/direct/src/process/news.rs
@@ -20,8 +20,8 @@
 use crate::peers;
 use crate::peers::HandoverError;
 use hawthornshift_core::Timestamp;
-use hawthornshift_core::direct::facts::Delta;
 use hawthornshift_core::direct::message::Handover;
+use hawthornshift_core::direct::store_entries::Delta;
 use hawthornshift_core::direct::watch::Duty;
 use hawthornshift_model::Revision;
 
--- a/crates/direct/src/store_reader.rs
+++ b/crates/direct/src/store_reader.rs
@@ -9,7 +9,7 @@
 
 use crate::command::Command;
 use crate::command::Order;
-use hawthornshift_core::direct::facts::Delta;
+use hawthornshift_core::direct::store_entries::Delta;
 use hawthornshift_core::direct::watch::WATCH_WAIT;
 use hawthornshift_model::Revision;
 use hawthornshift_platform::store::Answer;
--- a/crates/direct/tests/handovers.rs
+++ b/crates/direct/tests/handovers.rs
@@ -4,11 +4,11 @@
 use proptest::collection::vec;
 use proptest::proptest;
 
-use hawthornshift_core::direct::facts::Delta;
-use hawthornshift_core::direct::facts::Fact;
-use hawthornshift_core::direct::facts::TargetFacts;
-use hawthornshift_core::direct::facts::Versioned;
 use hawthornshift_core::direct::message::Handover;
+use hawthornshift_core::direct::store_entries::Delta;
+use hawthornshift_core::direct::store_entries::Fact;
+use hawthornshift_core::direct::store_entries::TargetFacts;
+use hawthornshift_core::direct::store_entries::Versioned;
 use hawthornshift_direct::peers::HandoverError;
 use hawthornshift_direct::peers::decode_handover;
 use hawthornshift_direct::peers::encode_handover;
