--- a/crates/core/src/direct/directory.rs
+++ b/crates/core/src/direct/directory.rs
@@ -15,10 +15,10 @@
 use crate::direct::routes::Routes;
 use crate::direct::segment::Cookie;
 use crate::direct::store_entries::Delta;
-use crate::direct::store_entries::Fact;
 use crate::direct::store_entries::Route;
 use crate::direct::store_entries::Routing;
 use crate::direct::store_entries::RoutingChange;
+use crate::direct::store_entries::StoreEntry;
 use crate::direct::store_entries::TargetFacts;
 use crate::direct::store_entries::Versioned;
 use crate::maps::Map;
@@ -255,12 +255,12 @@
     fn learn(&mut self, now: Timestamp, versioned: &Versioned) -> Learned {
         let revision = versioned.revision;
         let new = match &versioned.fact {
-            Fact::Target(id, Some(facts)) => self.learn_target(now, revision, *id, facts),
-            Fact::Target(id, None) => self.learn_missing(now, revision, *id),
-            Fact::Left(id, facts) => self.learn_left(now, revision, *id, facts),
-            Fact::Evacuated(domain, evacuated) => self.learn_domain(now, revision, domain, *evacuated),
-            Fact::Routing(routing) => return self.learn_routing(revision, routing),
-            Fact::RoutingChange(change) => return self.learn_change(revision, change),
+            StoreEntry::Target(id, Some(facts)) => self.learn_target(now, revision, *id, facts),
+            StoreEntry::Target(id, None) => self.learn_missing(now, revision, *id),
+            StoreEntry::Left(id, facts) => self.learn_left(now, revision, *id, facts),
+            StoreEntry::Evacuated(domain, evacuated) => self.learn_domain(now, revision, domain, *evacuated),
+            StoreEntry::Routing(routing) => return self.learn_routing(revision, routing),
+            StoreEntry::RoutingChange(change) => return self.learn_change(revision, change),
         };
         if new { Learned::New } else { Learned::Known }
     }
@@ -389,7 +389,7 @@
             self.targets.values().map(|target| Versioned { revision: target.revision, fact: told(now, target) });
         let domains = self.domains.iter().map(|(domain, (revision, evacuated))| Versioned {
             revision: *revision,
-            fact: Fact::Evacuated(domain.clone(), *evacuated),
+            fact: StoreEntry::Evacuated(domain.clone(), *evacuated),
         });
         let routing = self.routes.iter().filter_map(|routes| routes.told_since(since));
         let facts = targets.chain(domains).chain(routing).filter(|versioned| versioned.revision > since);
@@ -402,8 +402,8 @@
     pub fn relayed(&self, delta: &Delta) -> Delta {
         let retell = |versioned: &Versioned| match (&versioned.fact, &self.routes) {
             // Of several that came at once only the last is in force.
-            (Fact::Routing(_), Some(routes)) if versioned.revision < routes.revision() => None,
-            (Fact::Routing(_), Some(routes)) => routes.told_since(delta.since),
+            (StoreEntry::Routing(_), Some(routes)) if versioned.revision < routes.revision() => None,
+            (StoreEntry::Routing(_), Some(routes)) => routes.told_since(delta.since),
             _ => Some(versioned.clone()),
         };
         Delta { facts: delta.facts.iter().filter_map(retell).collect(), ..*delta }
@@ -411,12 +411,12 @@
 }
 
 /// Returns a target as it is told to a peer: its cold time counts from now.
-fn told(now: Timestamp, target: &Target) -> Fact {
+fn told(now: Timestamp, target: &Target) -> StoreEntry {
     if matches!(target.standing, Standing::Missing(_)) {
-        return Fact::Left(target.id, target.facts.clone());
+        return StoreEntry::Left(target.id, target.facts.clone());
     }
     let cold_for = target.cold_until.saturating_sub(now);
-    Fact::Target(target.id, Some(TargetFacts { cold_for, ..target.facts.clone() }))
+    StoreEntry::Target(target.id, Some(TargetFacts { cold_for, ..target.facts.clone() }))
 }
 
 /// What a whole picture names.
@@ -426,10 +426,10 @@
     Domain(String),
 }
 
-fn key(fact: &Fact) -> Option<Key> {
+fn key(fact: &StoreEntry) -> Option<Key> {
     match fact {
-        Fact::Target(id, _) | Fact::Left(id, _) => Some(Key::Target(*id)),
-        Fact::Evacuated(domain, _) => Some(Key::Domain(domain.clone())),
-        Fact::Routing(_) | Fact::RoutingChange(_) => None,
+        StoreEntry::Target(id, _) | StoreEntry::Left(id, _) => Some(Key::Target(*id)),
+        StoreEntry::Evacuated(domain, _) => Some(Key::Domain(domain.clone())),
+        StoreEntry::Routing(_) | StoreEntry::RoutingChange(_) => None,
     }
 }
--- a/crates/core/src/direct/routes.rs
+++ b/crates/core/src/direct/routes.rs
@@ -9,10 +9,10 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
 
-use crate::direct::store_entries::Fact;
 use crate::direct::store_entries::Route;
 use crate::direct::store_entries::Routing;
 use crate::direct::store_entries::RoutingChange;
+use crate::direct::store_entries::StoreEntry;
 use crate::direct::store_entries::Versioned;
 use crate::maps::Map;
 use hawthornshift_model::Revision;
@@ -152,8 +152,8 @@
         // The other instance knows what came up to `since`, so it has this configuration, or one that was never seen
         // here; it asks for the whole then.
         let fact = match self.seen.range(..=since).next_back() {
-            None => Fact::Routing(self.routing.clone()),
-            Some(&base) => Fact::RoutingChange(self.changes_since(base)),
+            None => StoreEntry::Routing(self.routing.clone()),
+            Some(&base) => StoreEntry::RoutingChange(self.changes_since(base)),
         };
         Some(Versioned { revision: self.revision, fact })
     }
--- a/crates/core/src/direct/store_entries.rs
+++ b/crates/core/src/direct/store_entries.rs
@@ -135,7 +135,7 @@
 /// What one key of the store says.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
-pub enum Fact {
+pub enum StoreEntry {
     /// A target's entry, or that there is none.
     Target(TargetId, Option<TargetFacts>),
     /// What the entry of a target said before it was removed. Only instances tell this, each other: the target may still
@@ -156,7 +156,7 @@
     /// When the store took it.
     pub revision: Revision,
     /// What it says.
-    pub fact: Fact,
+    pub fact: StoreEntry,
 }
 
 /// A part of what the store says.
--- a/crates/core/tests/direct/directory.rs
+++ b/crates/core/tests/direct/directory.rs
@@ -18,8 +18,8 @@
 use hawthornshift_core::direct::directory::Directory;
 use hawthornshift_core::direct::directory::cookie;
 use hawthornshift_core::direct::store_entries::Delta;
-use hawthornshift_core::direct::store_entries::Fact;
 use hawthornshift_core::direct::store_entries::Routing;
+use hawthornshift_core::direct::store_entries::StoreEntry;
 use hawthornshift_core::direct::store_entries::Versioned;
 
 /// What of a directory decides: targets that may get flows, domains that are out, the configuration.
@@ -29,13 +29,13 @@
     (targets.filter(|(_, takes)| *takes).collect(), domains.collect(), directory.version())
 }
 
-fn fact(kind: u8, index: usize, revision: u64) -> Fact {
+fn fact(kind: u8, index: usize, revision: u64) -> StoreEntry {
     match kind {
-        0 => Fact::Target(target_id(index), Some(target_facts(index, Duration::ZERO))),
-        1 => Fact::Target(target_id(index), None),
-        2 => Fact::Evacuated(domain(index), true),
-        3 => Fact::Evacuated(domain(index), false),
-        _ => Fact::Routing(Routing { version: revision, ..routing() }),
+        0 => StoreEntry::Target(target_id(index), Some(target_facts(index, Duration::ZERO))),
+        1 => StoreEntry::Target(target_id(index), None),
+        2 => StoreEntry::Evacuated(domain(index), true),
+        3 => StoreEntry::Evacuated(domain(index), false),
+        _ => StoreEntry::Routing(Routing { version: revision, ..routing() }),
     }
 }
 
@@ -102,7 +102,7 @@
 fn a_gap_in_the_news_is_noticed() {
     let mut directory = Directory::default();
     directory.apply(Timestamp::ZERO, &whole(2));
-    let facts = vec![Versioned { revision: 20, fact: Fact::Target(target_id(0), None) }];
+    let facts = vec![Versioned { revision: 20, fact: StoreEntry::Target(target_id(0), None) }];
     directory.apply(Timestamp::ZERO, &Delta { since: 19, revision: 20, whole: false, facts });
     assert_eq!(directory.revision(), 11);
 }
@@ -113,7 +113,7 @@
 fn what_a_whole_picture_does_not_name_is_gone() {
     let mut directory = Directory::default();
     directory.apply(Timestamp::ZERO, &whole(3));
-    let evacuated = vec![Versioned { revision: 13, fact: Fact::Evacuated(domain(1), true) }];
+    let evacuated = vec![Versioned { revision: 13, fact: StoreEntry::Evacuated(domain(1), true) }];
     directory.apply(Timestamp::ZERO, &Delta { since: 11, revision: 13, whole: false, facts: evacuated });
     let later = Delta { revision: 30, ..whole(2) };
     directory.apply(Duration::from_secs(1), &later);
@@ -129,7 +129,7 @@
     let mut directory = Directory::default();
     directory.apply(Timestamp::ZERO, &whole(2));
     let gone = |revision: u64, index: usize| {
-        let facts = vec![Versioned { revision, fact: Fact::Target(target_id(index), None) }];
+        let facts = vec![Versioned { revision, fact: StoreEntry::Target(target_id(index), None) }];
         Delta { since: revision - 1, revision, whole: false, facts }
     };
     directory.apply(Duration::from_secs(1), &gone(12, 0));
@@ -146,7 +146,7 @@
 fn a_target_that_has_left_is_handed_over() {
     let mut source = Directory::default();
     source.apply(Timestamp::ZERO, &whole(2));
-    let gone = vec![Versioned { revision: 12, fact: Fact::Target(target_id(1), None) }];
+    let gone = vec![Versioned { revision: 12, fact: StoreEntry::Target(target_id(1), None) }];
     source.apply(Duration::from_secs(1), &Delta { since: 11, revision: 12, whole: false, facts: gone });
     let mut fresh = Directory::default();
     fresh.apply(Duration::from_secs(2), &source.delta_since(Duration::from_secs(2), 0));
--- a/crates/core/tests/direct/fleet.rs
+++ b/crates/core/tests/direct/fleet.rs
@@ -40,12 +40,12 @@
 use hawthornshift_core::direct::steering::Steering;
 use hawthornshift_core::direct::steering::SteeringConfig;
 use hawthornshift_core::direct::store_entries::Delta;
-use hawthornshift_core::direct::store_entries::Fact;
 use hawthornshift_core::direct::store_entries::RequestKind;
 use hawthornshift_core::direct::store_entries::Route;
 use hawthornshift_core::direct::store_entries::Routing;
 use hawthornshift_core::direct::store_entries::ServiceFacts;
 use hawthornshift_core::direct::store_entries::Share;
+use hawthornshift_core::direct::store_entries::StoreEntry;
 use hawthornshift_core::direct::store_entries::TargetFacts;
 use hawthornshift_core::direct::store_entries::Versioned;
 use hawthornshift_core::membership::Identity;
@@ -113,10 +113,10 @@
 /// A whole picture with so many targets.
 pub fn whole(targets: usize) -> Delta {
     let mut facts: Vec<Versioned> = (0..targets)
-        .map(|index| Fact::Target(target_id(index), Some(target_facts(index, Duration::ZERO))))
+        .map(|index| StoreEntry::Target(target_id(index), Some(target_facts(index, Duration::ZERO))))
         .map(|fact| Versioned { revision: 10, fact })
         .collect();
-    facts.push(Versioned { revision: 11, fact: Fact::Routing(routing()) });
+    facts.push(Versioned { revision: 11, fact: StoreEntry::Routing(routing()) });
     Delta { since: 0, revision: 11, whole: true, facts }
 }
 
@@ -360,7 +360,7 @@
         self.safe = true;
         self.users = vec![None; users];
         for versioned in &mut self.picture.facts {
-            if let Fact::Routing(routing) = &mut versioned.fact {
+            if let StoreEntry::Routing(routing) = &mut versioned.fact {
                 routing.routes[0].kind = RequestKind::Safe;
             }
         }
@@ -370,7 +370,7 @@
     pub fn set_times(&mut self, objective: Duration, timeout: Duration) {
         (self.objective, self.timeout) = (objective, timeout);
         for versioned in &mut self.picture.facts {
-            if let Fact::Routing(routing) = &mut versioned.fact {
+            if let StoreEntry::Routing(routing) = &mut versioned.fact {
                 routing.routes[0].latency_objective = objective;
                 routing.routes[0].timeout = timeout;
             }
@@ -420,7 +420,7 @@
     /// Starts more targets, and tells every instance that is up of them, at a revision.
     pub fn add_targets(&mut self, indices: &[usize], revision: Revision) {
         self.targets.extend(indices.iter().map(|index| (target_id(*index), SimTarget::default())));
-        let fact = |index: &usize| Fact::Target(target_id(*index), Some(target_facts(*index, Duration::ZERO)));
+        let fact = |index: &usize| StoreEntry::Target(target_id(*index), Some(target_facts(*index, Duration::ZERO)));
         let facts = indices.iter().map(|index| Versioned { revision, fact: fact(index) }).collect();
         self.publish(&Delta { since: revision - 1, revision, whole: false, facts });
     }
--- a/crates/core/tests/direct/routes.rs
+++ b/crates/core/tests/direct/routes.rs
@@ -16,12 +16,12 @@
 use crate::fleet::SERVICE;
 use hawthornshift_core::direct::directory::Directory;
 use hawthornshift_core::direct::store_entries::Delta;
-use hawthornshift_core::direct::store_entries::Fact;
 use hawthornshift_core::direct::store_entries::RequestKind;
 use hawthornshift_core::direct::store_entries::Route;
 use hawthornshift_core::direct::store_entries::Routing;
 use hawthornshift_core::direct::store_entries::ServiceFacts;
 use hawthornshift_core::direct::store_entries::Share;
+use hawthornshift_core::direct::store_entries::StoreEntry;
 use hawthornshift_core::direct::store_entries::Versioned;
 use hawthornshift_model::Revision;
 
@@ -98,7 +98,7 @@
 
     fn news(&self, since: Revision) -> Delta {
         let (revision, routing) = self.latest(self.revision);
-        let fact = Versioned { revision: *revision, fact: Fact::Routing(routing.clone()) };
+        let fact = Versioned { revision: *revision, fact: StoreEntry::Routing(routing.clone()) };
         let facts = if *revision > since { vec![fact] } else { Vec::new() };
         Delta { since, revision: self.revision, whole: since == 0, facts }
     }
@@ -195,7 +195,7 @@
     let mut watcher = Directory::default();
     let routes = |timeout| (0..=255).map(|index| route(index, if index == 7 { timeout } else { 1 })).collect();
     let news = |since, revision, version| {
-        let fact = Fact::Routing(configuration(version, routes(version)));
+        let fact = StoreEntry::Routing(configuration(version, routes(version)));
         Delta { since, revision, whole: since == 0, facts: vec![Versioned { revision, fact }] }
     };
     watcher.apply(NOW, &news(0, 10, 1));
--- a/crates/core/tests/direct/rules.rs
+++ b/crates/core/tests/direct/rules.rs
@@ -33,8 +33,8 @@
 use hawthornshift_core::direct::steering::Steering;
 use hawthornshift_core::direct::steering::SteeringConfig;
 use hawthornshift_core::direct::store_entries::Delta;
-use hawthornshift_core::direct::store_entries::Fact;
 use hawthornshift_core::direct::store_entries::Routing;
+use hawthornshift_core::direct::store_entries::StoreEntry;
 use hawthornshift_core::direct::store_entries::Versioned;
 
 fn steering() -> Steering {
@@ -79,7 +79,7 @@
     OpenRequest { flow, target, age_ms: 0 }
 }
 
-fn news(revision: u64, fact: Fact) -> Delta {
+fn news(revision: u64, fact: StoreEntry) -> Delta {
     Delta { since: revision - 1, revision, whole: false, facts: vec![Versioned { revision, fact }] }
 }
 
@@ -90,7 +90,7 @@
     let mut sim = Sim::new(11, 24, 4, 600.0);
     for index in 0..4 {
         let facts = target_facts(index, Duration::from_mins(1));
-        sim.picture.facts[index].fact = Fact::Target(target_id(index), Some(facts));
+        sim.picture.facts[index].fact = StoreEntry::Target(target_id(index), Some(facts));
     }
     for round in 0..6_usize {
         sim.run_until(Duration::from_secs(2 + round as u64));
@@ -111,7 +111,7 @@
 #[test]
 fn a_cold_target_gets_nothing_while_a_warm_one_stands() {
     let mut steering = ready(2);
-    let cold = Fact::Target(target_id(2), Some(target_facts(2, Duration::from_secs(2))));
+    let cold = StoreEntry::Target(target_id(2), Some(target_facts(2, Duration::from_secs(2))));
     steering.learn(Duration::from_secs(1), &news(12, cold), &mut Vec::new());
     for port in 0..200 {
         let now = Duration::from_secs(1) + ms(u64::from(port) * 9);
@@ -130,11 +130,11 @@
     let open = (0..50).find(|port| sent_to(&act(&mut steering, ms(1), &syn(*port))) == [target_id(1)]).unwrap();
     let mut facts = target_facts(1, Duration::ZERO);
     facts.draining = true;
-    steering.learn(ms(5), &news(12, Fact::Target(target_id(1), Some(facts))), &mut Vec::new());
+    steering.learn(ms(5), &news(12, StoreEntry::Target(target_id(1), Some(facts))), &mut Vec::new());
     for port in 100..200 {
         assert!(!sent_to(&act(&mut steering, ms(6), &syn(port))).contains(&target_id(1)));
     }
-    steering.learn(ms(4_000), &news(13, Fact::Target(target_id(1), None)), &mut Vec::new());
+    steering.learn(ms(4_000), &news(13, StoreEntry::Target(target_id(1), None)), &mut Vec::new());
     let data =
         Segment { payload: 10, acknowledged: 9, cookie: cookie(target_id(1)), ..segment(open, SegmentKind::Carry) };
     assert_eq!(sent_to(&act(&mut steering, ms(4_100), &data)), [target_id(1)]);
@@ -145,7 +145,7 @@
 #[test]
 fn an_entry_that_lapses_is_used_for_two_more_seconds() {
     let mut steering = ready(1);
-    steering.learn(ms(10), &news(12, Fact::Target(target_id(0), None)), &mut Vec::new());
+    steering.learn(ms(10), &news(12, StoreEntry::Target(target_id(0), None)), &mut Vec::new());
     assert_eq!(sent_to(&act(&mut steering, ms(1_900), &syn(1))), [target_id(0)]);
     let effects = act(&mut steering, ms(2_100), &syn(2));
     assert!(matches!(effects[..], [Effect::Reset(_)]), "{effects:?}");
@@ -156,7 +156,7 @@
 fn an_evacuated_failure_domain_gets_nothing_after_the_grace() {
     let mut steering = ready(2);
     let open = (0..50).find(|port| sent_to(&act(&mut steering, ms(1), &syn(*port))) == [target_id(1)]).unwrap();
-    steering.learn(ms(5), &news(12, Fact::Evacuated(domain(1), true)), &mut Vec::new());
+    steering.learn(ms(5), &news(12, StoreEntry::Evacuated(domain(1), true)), &mut Vec::new());
     for port in 100..200 {
         assert!(!sent_to(&act(&mut steering, ms(6), &syn(port))).contains(&target_id(1)));
     }
@@ -171,8 +171,8 @@
 #[test]
 fn a_failure_domain_that_comes_back_counts_as_cold() {
     let mut steering = ready(2);
-    steering.learn(ms(5), &news(12, Fact::Evacuated(domain(1), true)), &mut Vec::new());
-    steering.learn(ms(9_000), &news(13, Fact::Evacuated(domain(1), false)), &mut Vec::new());
+    steering.learn(ms(5), &news(12, StoreEntry::Evacuated(domain(1), true)), &mut Vec::new());
+    steering.learn(ms(9_000), &news(13, StoreEntry::Evacuated(domain(1), false)), &mut Vec::new());
     for port in 0..200 {
         let now = ms(9_001 + u64::from(port) * 9);
         assert!(!sent_to(&act(&mut steering, now, &syn(port))).contains(&target_id(1)));
@@ -185,7 +185,7 @@
     let mut steering = ready(1);
     act(&mut steering, ms(1), &syn(1));
     let without = Routing { version: 2, routes: Vec::new(), ..routing() };
-    steering.learn(ms(5), &news(12, Fact::Routing(without)), &mut Vec::new());
+    steering.learn(ms(5), &news(12, StoreEntry::Routing(without)), &mut Vec::new());
     let data = Segment { payload: 10, cookie: cookie(target_id(0)), ..segment(1, SegmentKind::Carry) };
     assert!(matches!(act(&mut steering, ms(6), &data)[..], [Effect::Reset(_)]));
     assert!(matches!(act(&mut steering, ms(6), &syn(2))[..], [Effect::Reset(_)]));
@@ -368,7 +368,7 @@
     for port in 1..10 {
         steering.packet(ms(10), &syn(port), b"syn", &mut effects);
     }
-    let restarted = Fact::Target(target_id(0), Some(target_facts(0, Duration::from_secs(2))));
+    let restarted = StoreEntry::Target(target_id(0), Some(target_facts(0, Duration::from_secs(2))));
     let facts = vec![Versioned { revision: 30, fact: restarted }];
     steering.learn(ms(100), &Delta { since: 11, revision: 30, whole: false, facts }, &mut effects);
     effects.clear();
@@ -385,7 +385,7 @@
 fn a_trickle_that_a_peer_has_spent_is_not_spent_again() {
     let mut steering = steering();
     let mut picture = whole(1);
-    picture.facts[0].fact = Fact::Target(target_id(0), Some(target_facts(0, Duration::from_mins(1))));
+    picture.facts[0].fact = StoreEntry::Target(target_id(0), Some(target_facts(0, Duration::from_mins(1))));
     steering.learn(Timestamp::ZERO, &picture, &mut Vec::new());
     let spent = LoadReport { started: vec![open_request(9, cookie(target_id(0)))], ..LoadReport::default() };
     steering.receive(ms(1_000), &spent, &mut Vec::new());
