--- a/crates/core/src/direct/directory.rs
+++ b/crates/core/src/direct/directory.rs
@@ -20,7 +20,7 @@
 use crate::direct::store_entries::RoutingChange;
 use crate::direct::store_entries::StoreEntry;
 use crate::direct::store_entries::TargetFacts;
-use crate::direct::store_entries::Versioned;
+use crate::direct::store_entries::VersionedEntry;
 use crate::maps::Map;
 use hawthornshift_model::Revision;
 use hawthornshift_model::TargetId;
@@ -229,7 +229,7 @@
         let mut named = BTreeSet::new();
         for versioned in &delta.facts {
             if delta.whole {
-                named.extend(key(&versioned.fact));
+                named.extend(key(&versioned.entry));
             }
             let learned = self.learn(now, versioned);
             changed |= learned == Learned::New;
@@ -252,9 +252,9 @@
         changed
     }
 
-    fn learn(&mut self, now: Timestamp, versioned: &Versioned) -> Learned {
+    fn learn(&mut self, now: Timestamp, versioned: &VersionedEntry) -> Learned {
         let revision = versioned.revision;
-        let new = match &versioned.fact {
+        let new = match &versioned.entry {
             StoreEntry::Target(id, Some(facts)) => self.learn_target(now, revision, *id, facts),
             StoreEntry::Target(id, None) => self.learn_missing(now, revision, *id),
             StoreEntry::Left(id, facts) => self.learn_left(now, revision, *id, facts),
@@ -386,10 +386,10 @@
         let whole = since == 0 || since < self.forgotten;
         let since = if whole { 0 } else { since };
         let targets =
-            self.targets.values().map(|target| Versioned { revision: target.revision, fact: told(now, target) });
-        let domains = self.domains.iter().map(|(domain, (revision, evacuated))| Versioned {
+            self.targets.values().map(|target| VersionedEntry { revision: target.revision, entry: told(now, target) });
+        let domains = self.domains.iter().map(|(domain, (revision, evacuated))| VersionedEntry {
             revision: *revision,
-            fact: StoreEntry::Evacuated(domain.clone(), *evacuated),
+            entry: StoreEntry::Evacuated(domain.clone(), *evacuated),
         });
         let routing = self.routes.iter().filter_map(|routes| routes.told_since(since));
         let facts = targets.chain(domains).chain(routing).filter(|versioned| versioned.revision > since);
@@ -400,7 +400,7 @@
     /// changed.
     #[must_use]
     pub fn relayed(&self, delta: &Delta) -> Delta {
-        let retell = |versioned: &Versioned| match (&versioned.fact, &self.routes) {
+        let retell = |versioned: &VersionedEntry| match (&versioned.entry, &self.routes) {
             // Of several that came at once only the last is in force.
             (StoreEntry::Routing(_), Some(routes)) if versioned.revision < routes.revision() => None,
             (StoreEntry::Routing(_), Some(routes)) => routes.told_since(delta.since),
--- a/crates/core/src/direct/routes.rs
+++ b/crates/core/src/direct/routes.rs
@@ -13,7 +13,7 @@
 use crate::direct::store_entries::Routing;
 use crate::direct::store_entries::RoutingChange;
 use crate::direct::store_entries::StoreEntry;
-use crate::direct::store_entries::Versioned;
+use crate::direct::store_entries::VersionedEntry;
 use crate::maps::Map;
 use hawthornshift_model::Revision;
 
@@ -145,7 +145,7 @@
     /// Returns the configuration as it is told to an instance that knows everything up to a revision; `None` when it
     /// knows this one.
     #[must_use]
-    pub fn told_since(&self, since: Revision) -> Option<Versioned> {
+    pub fn told_since(&self, since: Revision) -> Option<VersionedEntry> {
         if since >= self.revision {
             return None;
         }
@@ -155,7 +155,7 @@
             None => StoreEntry::Routing(self.routing.clone()),
             Some(&base) => StoreEntry::RoutingChange(self.changes_since(base)),
         };
-        Some(Versioned { revision: self.revision, fact })
+        Some(VersionedEntry { revision: self.revision, entry: fact })
     }
 
     fn changes_since(&self, base: Revision) -> RoutingChange {
--- a/crates/core/src/direct/store_entries.rs
+++ b/crates/core/src/direct/store_entries.rs
@@ -152,11 +152,11 @@
 /// A fact with the store's revision of its key.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct Versioned {
+pub struct VersionedEntry {
     /// When the store took it.
     pub revision: Revision,
     /// What it says.
-    pub fact: StoreEntry,
+    pub entry: StoreEntry,
 }
 
 /// A part of what the store says.
@@ -170,5 +170,5 @@
     /// Whether they are all there is: what is not named does not exist.
     pub whole: bool,
     /// The facts.
-    pub facts: Vec<Versioned>,
+    pub facts: Vec<VersionedEntry>,
 }
--- a/crates/core/tests/direct/directory.rs
+++ b/crates/core/tests/direct/directory.rs
@@ -20,7 +20,7 @@
 use hawthornshift_core::direct::store_entries::Delta;
 use hawthornshift_core::direct::store_entries::Routing;
 use hawthornshift_core::direct::store_entries::StoreEntry;
-use hawthornshift_core::direct::store_entries::Versioned;
+use hawthornshift_core::direct::store_entries::VersionedEntry;
 
 /// What of a directory decides: targets that may get flows, domains that are out, the configuration.
 fn picture(directory: &Directory) -> (Vec<(u64, bool)>, Vec<bool>, u64) {
@@ -47,9 +47,9 @@
         changes in vec((0_u8..5, 0_usize..6), 1..40),
         order in vec(any::<Index>(), 1..120),
     ) {
-        let news: Vec<Versioned> = changes.iter().zip(12_u64..)
-            .map(|((kind, index), revision)| Versioned { revision, fact: fact(*kind, *index, revision) }).collect();
-        let single = |versioned: &Versioned| Delta {
+        let news: Vec<VersionedEntry> = changes.iter().zip(12_u64..)
+            .map(|((kind, index), revision)| VersionedEntry { revision, entry: fact(*kind, *index, revision) }).collect();
+        let single = |versioned: &VersionedEntry| Delta {
             since: versioned.revision - 1, revision: versioned.revision, whole: false, facts: vec![versioned.clone()],
         };
         let mut straight = Directory::default();
@@ -82,7 +82,7 @@
         let mut behind = source.clone();
         let keep = missed.index(changes.len());
         for ((count, (kind, index)), revision) in changes.iter().enumerate().zip(12_u64..) {
-            let facts = vec![Versioned { revision, fact: fact(*kind, *index, revision) }];
+            let facts = vec![VersionedEntry { revision, entry: fact(*kind, *index, revision) }];
             let delta = Delta { since: revision - 1, revision, whole: false, facts };
             source.apply(Timestamp::ZERO, &delta);
             if count < keep {
@@ -102,7 +102,7 @@
 fn a_gap_in_the_news_is_noticed() {
     let mut directory = Directory::default();
     directory.apply(Timestamp::ZERO, &whole(2));
-    let facts = vec![Versioned { revision: 20, fact: StoreEntry::Target(target_id(0), None) }];
+    let facts = vec![VersionedEntry { revision: 20, entry: StoreEntry::Target(target_id(0), None) }];
     directory.apply(Timestamp::ZERO, &Delta { since: 19, revision: 20, whole: false, facts });
     assert_eq!(directory.revision(), 11);
 }
@@ -113,7 +113,7 @@
 fn what_a_whole_picture_does_not_name_is_gone() {
     let mut directory = Directory::default();
     directory.apply(Timestamp::ZERO, &whole(3));
-    let evacuated = vec![Versioned { revision: 13, fact: StoreEntry::Evacuated(domain(1), true) }];
+    let evacuated = vec![VersionedEntry { revision: 13, entry: StoreEntry::Evacuated(domain(1), true) }];
     directory.apply(Timestamp::ZERO, &Delta { since: 11, revision: 13, whole: false, facts: evacuated });
     let later = Delta { revision: 30, ..whole(2) };
     directory.apply(Duration::from_secs(1), &later);
@@ -129,7 +129,7 @@
     let mut directory = Directory::default();
     directory.apply(Timestamp::ZERO, &whole(2));
     let gone = |revision: u64, index: usize| {
-        let facts = vec![Versioned { revision, fact: StoreEntry::Target(target_id(index), None) }];
+        let facts = vec![VersionedEntry { revision, entry: StoreEntry::Target(target_id(index), None) }];
         Delta { since: revision - 1, revision, whole: false, facts }
     };
     directory.apply(Duration::from_secs(1), &gone(12, 0));
@@ -146,7 +146,7 @@
 fn a_target_that_has_left_is_handed_over() {
     let mut source = Directory::default();
     source.apply(Timestamp::ZERO, &whole(2));
-    let gone = vec![Versioned { revision: 12, fact: StoreEntry::Target(target_id(1), None) }];
+    let gone = vec![VersionedEntry { revision: 12, entry: StoreEntry::Target(target_id(1), None) }];
     source.apply(Duration::from_secs(1), &Delta { since: 11, revision: 12, whole: false, facts: gone });
     let mut fresh = Directory::default();
     fresh.apply(Duration::from_secs(2), &source.delta_since(Duration::from_secs(2), 0));
--- a/crates/core/tests/direct/fleet.rs
+++ b/crates/core/tests/direct/fleet.rs
@@ -47,7 +47,7 @@
 use hawthornshift_core::direct::store_entries::Share;
 use hawthornshift_core::direct::store_entries::StoreEntry;
 use hawthornshift_core::direct::store_entries::TargetFacts;
-use hawthornshift_core::direct::store_entries::Versioned;
+use hawthornshift_core::direct::store_entries::VersionedEntry;
 use hawthornshift_core::membership::Identity;
 use hawthornshift_model::Revision;
 use hawthornshift_model::TargetId;
@@ -112,11 +112,11 @@
 
 /// A whole picture with so many targets.
 pub fn whole(targets: usize) -> Delta {
-    let mut facts: Vec<Versioned> = (0..targets)
+    let mut facts: Vec<VersionedEntry> = (0..targets)
         .map(|index| StoreEntry::Target(target_id(index), Some(target_facts(index, Duration::ZERO))))
-        .map(|fact| Versioned { revision: 10, fact })
+        .map(|fact| VersionedEntry { revision: 10, entry: fact })
         .collect();
-    facts.push(Versioned { revision: 11, fact: StoreEntry::Routing(routing()) });
+    facts.push(VersionedEntry { revision: 11, entry: StoreEntry::Routing(routing()) });
     Delta { since: 0, revision: 11, whole: true, facts }
 }
 
@@ -360,7 +360,7 @@
         self.safe = true;
         self.users = vec![None; users];
         for versioned in &mut self.picture.facts {
-            if let StoreEntry::Routing(routing) = &mut versioned.fact {
+            if let StoreEntry::Routing(routing) = &mut versioned.entry {
                 routing.routes[0].kind = RequestKind::Safe;
             }
         }
@@ -370,7 +370,7 @@
     pub fn set_times(&mut self, objective: Duration, timeout: Duration) {
         (self.objective, self.timeout) = (objective, timeout);
         for versioned in &mut self.picture.facts {
-            if let StoreEntry::Routing(routing) = &mut versioned.fact {
+            if let StoreEntry::Routing(routing) = &mut versioned.entry {
                 routing.routes[0].latency_objective = objective;
                 routing.routes[0].timeout = timeout;
             }
@@ -421,7 +421,7 @@
     pub fn add_targets(&mut self, indices: &[usize], revision: Revision) {
         self.targets.extend(indices.iter().map(|index| (target_id(*index), SimTarget::default())));
         let fact = |index: &usize| StoreEntry::Target(target_id(*index), Some(target_facts(*index, Duration::ZERO)));
-        let facts = indices.iter().map(|index| Versioned { revision, fact: fact(index) }).collect();
+        let facts = indices.iter().map(|index| VersionedEntry { revision, entry: fact(index) }).collect();
         self.publish(&Delta { since: revision - 1, revision, whole: false, facts });
     }
 
--- a/crates/core/tests/direct/load.rs
+++ b/crates/core/tests/direct/load.rs
@@ -8,7 +8,7 @@
 use crate::fleet::target_id;
 use hawthornshift_core::direct::store_entries::Delta;
 use hawthornshift_core::direct::store_entries::StoreEntry;
-use hawthornshift_core::direct::store_entries::Versioned;
+use hawthornshift_core::direct::store_entries::VersionedEntry;
 
 /// Half of what 14 targets with 2 slots can do.
 const USUAL: f64 = 425.0;
@@ -224,7 +224,7 @@
     let mut sim = Sim::new(9, 9, 14, 200.0);
     sim.route_by_readiness();
     sim.run_until(secs(3));
-    let taken_out = Versioned { revision: 20, fact: StoreEntry::Evacuated(domain(1), true) };
+    let taken_out = VersionedEntry { revision: 20, entry: StoreEntry::Evacuated(domain(1), true) };
     sim.publish(&Delta { since: 11, revision: 20, whole: false, facts: vec![taken_out] });
     sim.run_until(secs(4));
     sim.cut_off(1);
@@ -236,7 +236,7 @@
     assert!(in_time > 0.99, "{in_time}");
     assert!(at_all > 0.999, "{at_all}");
     sim.cut = None;
-    let brought_back = Versioned { revision: 30, fact: StoreEntry::Evacuated(domain(1), false) };
+    let brought_back = VersionedEntry { revision: 30, entry: StoreEntry::Evacuated(domain(1), false) };
     sim.publish(&Delta { since: 20, revision: 30, whole: false, facts: vec![brought_back] });
     sim.run_until(secs(16));
     sim.check();
--- a/crates/core/tests/direct/readiness.rs
+++ b/crates/core/tests/direct/readiness.rs
@@ -12,7 +12,7 @@
 use hawthornshift_core::direct::steering::SteeringConfig;
 use hawthornshift_core::direct::store_entries::Delta;
 use hawthornshift_core::direct::store_entries::StoreEntry;
-use hawthornshift_core::direct::store_entries::Versioned;
+use hawthornshift_core::direct::store_entries::VersionedEntry;
 
 /// Returns an instance whose own failure domain is taken out.
 fn with_nothing_of_its_own() -> Steering {
@@ -26,7 +26,7 @@
     assert_eq!(steering.readiness(Timestamp::ZERO, true), Readiness::NotWhole);
     steering.learn(Timestamp::ZERO, &whole(8), &mut Vec::new());
     assert_eq!(steering.readiness(Timestamp::ZERO, false), Readiness::Ready);
-    let taken_out = Versioned { revision: 20, fact: StoreEntry::Evacuated(domain(0), true) };
+    let taken_out = VersionedEntry { revision: 20, entry: StoreEntry::Evacuated(domain(0), true) };
     let delta = Delta { since: 11, revision: 20, whole: false, facts: vec![taken_out] };
     steering.learn(Timestamp::ZERO, &delta, &mut Vec::new());
     steering
@@ -52,8 +52,10 @@
 #[test]
 fn an_instance_stays_ready_when_no_other_could_serve() {
     let mut steering = with_nothing_of_its_own();
-    let out =
-        |index: usize| Versioned { revision: 30 + index as u64, fact: StoreEntry::Evacuated(domain(index), true) };
+    let out = |index: usize| VersionedEntry {
+        revision: 30 + index as u64,
+        entry: StoreEntry::Evacuated(domain(index), true),
+    };
     let delta = Delta { since: 20, revision: 40, whole: false, facts: (1..4).map(out).collect() };
     steering.learn(ms(10), &delta, &mut Vec::new());
     assert_eq!(steering.readiness(ms(20), false), Readiness::Ready);
--- a/crates/core/tests/direct/routes.rs
+++ b/crates/core/tests/direct/routes.rs
@@ -22,7 +22,7 @@
 use hawthornshift_core::direct::store_entries::ServiceFacts;
 use hawthornshift_core::direct::store_entries::Share;
 use hawthornshift_core::direct::store_entries::StoreEntry;
-use hawthornshift_core::direct::store_entries::Versioned;
+use hawthornshift_core::direct::store_entries::VersionedEntry;
 use hawthornshift_model::Revision;
 
 const INSTANCES: usize = 4;
@@ -98,7 +98,7 @@
 
     fn news(&self, since: Revision) -> Delta {
         let (revision, routing) = self.latest(self.revision);
-        let fact = Versioned { revision: *revision, fact: StoreEntry::Routing(routing.clone()) };
+        let fact = VersionedEntry { revision: *revision, entry: StoreEntry::Routing(routing.clone()) };
         let facts = if *revision > since { vec![fact] } else { Vec::new() };
         Delta { since, revision: self.revision, whole: since == 0, facts }
     }
@@ -196,7 +196,7 @@
     let routes = |timeout| (0..=255).map(|index| route(index, if index == 7 { timeout } else { 1 })).collect();
     let news = |since, revision, version| {
         let fact = StoreEntry::Routing(configuration(version, routes(version)));
-        Delta { since, revision, whole: since == 0, facts: vec![Versioned { revision, fact }] }
+        Delta { since, revision, whole: since == 0, facts: vec![VersionedEntry { revision, entry: fact }] }
     };
     watcher.apply(NOW, &news(0, 10, 1));
     let mut other = watcher.clone();
--- a/crates/direct/tests/handovers.rs
+++ b/crates/direct/tests/handovers.rs
@@ -8,7 +8,7 @@
 use hawthornshift_core::direct::store_entries::Delta;
 use hawthornshift_core::direct::store_entries::StoreEntry;
 use hawthornshift_core::direct::store_entries::TargetFacts;
-use hawthornshift_core::direct::store_entries::Versioned;
+use hawthornshift_core::direct::store_entries::VersionedEntry;
 use hawthornshift_direct::peers::HandoverError;
 use hawthornshift_direct::peers::decode_handover;
 use hawthornshift_direct::peers::encode_handover;
@@ -24,7 +24,10 @@
             cold_for: std::time::Duration::ZERO,
             born: 1_700_000_000_000 + u64::from(index),
         };
-        Versioned { revision: 10 + u64::from(index), fact: StoreEntry::Target(0xA000 + u64::from(index), Some(facts)) }
+        VersionedEntry {
+            revision: 10 + u64::from(index),
+            entry: StoreEntry::Target(0xA000 + u64::from(index), Some(facts)),
+        }
     };
     let delta = Delta { since: 0, revision: 400, whole: true, facts: (0..targets).map(target).collect() };
     Handover { delta, ..Handover::default() }
--- a/crates/standins/src/platform.rs
+++ b/crates/standins/src/platform.rs
@@ -27,14 +27,14 @@
 
 /// One value with its version.
 #[derive(Clone, Debug, Default)]
-struct Versioned {
+struct VersionedEntry {
     version: u64,
     text: String,
 }
 
 #[derive(Debug, Default)]
 struct State {
-    values: Mutex<HashMap<String, Versioned>>,
+    values: Mutex<HashMap<String, VersionedEntry>>,
     changed: Notify,
     down: AtomicBool,
     reads: AtomicU64,
@@ -70,7 +70,7 @@
     /// Publishes a value under `resource`, which is `set` or `instances`.
     pub fn publish(&self, resource: &str, version: u64, text: String) {
         let mut values = self.state.values.lock().unwrap_or_else(PoisonError::into_inner);
-        values.insert(resource.to_owned(), Versioned { version, text });
+        values.insert(resource.to_owned(), VersionedEntry { version, text });
         self.state.changed.notify_waiters();
     }
 
@@ -123,7 +123,7 @@
     }
 }
 
-async fn wait_for_newer(state: &State, resource: &str, after: u64) -> Versioned {
+async fn wait_for_newer(state: &State, resource: &str, after: u64) -> VersionedEntry {
     loop {
         let changed = state.changed.notified();
         if let Some(value) = look(state, resource, after) {
@@ -133,7 +133,7 @@
     }
 }
 
-fn look(state: &State, resource: &str, after: u64) -> Option<Versioned> {
+fn look(state: &State, resource: &str, after: u64) -> Option<VersionedEntry> {
     let values = state.values.lock().unwrap_or_else(PoisonError::into_inner);
     values.get(resource).filter(|value| value.version != after).cloned()
 }
