--- a/crates/core/src/direct/directory.rs
+++ b/crates/core/src/direct/directory.rs
@@ -227,7 +227,7 @@
         let mut changed = false;
         let mut complete = true;
         let mut named = BTreeSet::new();
-        for versioned in &delta.facts {
+        for versioned in &delta.entries {
             if delta.whole {
                 named.extend(key(&versioned.entry));
             }
@@ -393,7 +393,7 @@
         });
         let routing = self.routes.iter().filter_map(|routes| routes.told_since(since));
         let facts = targets.chain(domains).chain(routing).filter(|versioned| versioned.revision > since);
-        Delta { since, revision: self.revision, whole: whole && self.whole, facts: facts.collect() }
+        Delta { since, revision: self.revision, whole: whole && self.whole, entries: facts.collect() }
     }
 
     /// Returns news of the store as it is told to peers, after it was applied here: of a configuration only what has
@@ -406,7 +406,7 @@
             (StoreEntry::Routing(_), Some(routes)) => routes.told_since(delta.since),
             _ => Some(versioned.clone()),
         };
-        Delta { facts: delta.facts.iter().filter_map(retell).collect(), ..*delta }
+        Delta { entries: delta.entries.iter().filter_map(retell).collect(), ..*delta }
     }
 }
 
--- a/crates/core/src/direct/store_entries.rs
+++ b/crates/core/src/direct/store_entries.rs
@@ -170,5 +170,5 @@
     /// Whether they are all there is: what is not named does not exist.
     pub whole: bool,
     /// The facts.
-    pub facts: Vec<VersionedEntry>,
+    pub entries: Vec<VersionedEntry>,
 }
--- a/crates/core/tests/direct/fleet.rs
+++ b/crates/core/tests/direct/fleet.rs
@@ -117,7 +117,7 @@
         .map(|fact| VersionedEntry { revision: 10, entry: fact })
         .collect();
     facts.push(VersionedEntry { revision: 11, entry: StoreEntry::Routing(routing()) });
-    Delta { since: 0, revision: 11, whole: true, facts }
+    Delta { since: 0, revision: 11, whole: true, entries: facts }
 }
 
 fn instance_address(index: usize) -> SocketAddr {
@@ -359,7 +359,7 @@
     pub fn keep_flows(&mut self, users: usize) {
         self.safe = true;
         self.users = vec![None; users];
-        for versioned in &mut self.picture.facts {
+        for versioned in &mut self.picture.entries {
             if let StoreEntry::Routing(routing) = &mut versioned.entry {
                 routing.routes[0].kind = RequestKind::Safe;
             }
@@ -369,7 +369,7 @@
     /// Gives the route another latency objective and time-out, before anything is asked.
     pub fn set_times(&mut self, objective: Duration, timeout: Duration) {
         (self.objective, self.timeout) = (objective, timeout);
-        for versioned in &mut self.picture.facts {
+        for versioned in &mut self.picture.entries {
             if let StoreEntry::Routing(routing) = &mut versioned.entry {
                 routing.routes[0].latency_objective = objective;
                 routing.routes[0].timeout = timeout;
@@ -422,7 +422,7 @@
         self.targets.extend(indices.iter().map(|index| (target_id(*index), SimTarget::default())));
         let fact = |index: &usize| StoreEntry::Target(target_id(*index), Some(target_facts(*index, Duration::ZERO)));
         let facts = indices.iter().map(|index| VersionedEntry { revision, entry: fact(index) }).collect();
-        self.publish(&Delta { since: revision - 1, revision, whole: false, facts });
+        self.publish(&Delta { since: revision - 1, revision, whole: false, entries: facts });
     }
 
     /// Makes the fabric hand each caller to an instance of its own failure domain that says it is ready, or, while none
--- a/crates/core/tests/direct/rules.rs
+++ b/crates/core/tests/direct/rules.rs
@@ -80,7 +80,7 @@
 }
 
 fn news(revision: u64, fact: StoreEntry) -> Delta {
-    Delta { since: revision - 1, revision, whole: false, facts: vec![VersionedEntry { revision, entry: fact }] }
+    Delta { since: revision - 1, revision, whole: false, entries: vec![VersionedEntry { revision, entry: fact }] }
 }
 
 /// All targets of a service are cold, and 88 instances get SYNs for it, some of them not knowing of the others. A cold
@@ -90,7 +90,7 @@
     let mut sim = Sim::new(11, 24, 4, 600.0);
     for index in 0..4 {
         let facts = target_facts(index, Duration::from_mins(1));
-        sim.picture.facts[index].entry = StoreEntry::Target(target_id(index), Some(facts));
+        sim.picture.entries[index].entry = StoreEntry::Target(target_id(index), Some(facts));
     }
     for round in 0..6_usize {
         sim.run_until(Duration::from_secs(2 + round as u64));
@@ -370,7 +370,7 @@
     }
     let restarted = StoreEntry::Target(target_id(0), Some(target_facts(0, Duration::from_secs(2))));
     let facts = vec![VersionedEntry { revision: 30, entry: restarted }];
-    steering.learn(ms(100), &Delta { since: 11, revision: 30, whole: false, facts }, &mut effects);
+    steering.learn(ms(100), &Delta { since: 11, revision: 30, whole: false, entries: facts }, &mut effects);
     effects.clear();
     for port in 1..10 {
         steering.packet(ms(210), &segment(port, SegmentKind::Open { copies: 1 }), b"syn", &mut effects);
@@ -385,7 +385,7 @@
 fn a_trickle_that_a_peer_has_spent_is_not_spent_again() {
     let mut steering = steering();
     let mut picture = whole(1);
-    picture.facts[0].entry = StoreEntry::Target(target_id(0), Some(target_facts(0, Duration::from_mins(1))));
+    picture.entries[0].entry = StoreEntry::Target(target_id(0), Some(target_facts(0, Duration::from_mins(1))));
     steering.learn(Timestamp::ZERO, &picture, &mut Vec::new());
     let spent = LoadReport { started: vec![open_request(9, cookie(target_id(0)))], ..LoadReport::default() };
     steering.receive(ms(1_000), &spent, &mut Vec::new());
--- a/crates/direct/src/process/news.rs
+++ b/crates/direct/src/process/news.rs
@@ -74,7 +74,7 @@
         self.fleet.duty_mut().answered(now);
         self.learn(now, delta, "store");
         self.confirm_news(now);
-        if !delta.facts.is_empty() {
+        if !delta.entries.is_empty() {
             let revision = self.steering.directory().revision();
             // A whole picture is large and comes after a gap: it is announced, and who lacks it pulls it.
             let told = self.steering.directory().relayed(delta);
@@ -147,7 +147,7 @@
     /// Logs news that took so long to be asked for.
     pub(super) fn learned(&mut self, delta: &Delta, from: &'static str, took: Duration) {
         let directory = self.steering.directory();
-        info!(self.log, "news"; "from" => from, "facts" => delta.facts.len(), "whole" => delta.whole,
+        info!(self.log, "news"; "from" => from, "facts" => delta.entries.len(), "whole" => delta.whole,
             "took_ms" => millis(took), "revision" => directory.revision(), "version" => directory.version());
         self.look_at_readiness();
     }
