--- a/crates/core/src/direct/directory.rs
+++ b/crates/core/src/direct/directory.rs
@@ -228,7 +228,7 @@
         let mut complete = true;
         let mut named = BTreeSet::new();
         for versioned in &delta.entries {
-            if delta.whole {
+            if delta.is_snapshot {
                 named.extend(key(&versioned.entry));
             }
             let learned = self.learn(now, versioned);
@@ -236,12 +236,12 @@
             complete &= learned != Learned::Gap;
         }
         self.gap = self.gap.filter(|gap| self.routes.as_ref().is_none_or(|routes| routes.revision() < *gap));
-        if delta.whole {
+        if delta.is_snapshot {
             changed |= self.drop_unnamed(now, delta.revision, &named);
         }
         // A gap holds back only the news that it is in. One that follows the store itself would else be stuck at an old
         // revision for good, and those who hear it announced would never notice what they have missed.
-        if delta.whole || (self.whole && complete && delta.since <= self.revision) {
+        if delta.is_snapshot || (self.whole && complete && delta.since <= self.revision) {
             self.whole = true;
             self.revision = self.revision.max(delta.revision);
         }
@@ -393,7 +393,7 @@
         });
         let routing = self.routes.iter().filter_map(|routes| routes.told_since(since));
         let facts = targets.chain(domains).chain(routing).filter(|versioned| versioned.revision > since);
-        Delta { since, revision: self.revision, whole: whole && self.whole, entries: facts.collect() }
+        Delta { since, revision: self.revision, is_snapshot: whole && self.whole, entries: facts.collect() }
     }
 
     /// Returns news of the store as it is told to peers, after it was applied here: of a configuration only what has
--- a/crates/core/src/direct/store_entries.rs
+++ b/crates/core/src/direct/store_entries.rs
@@ -168,7 +168,7 @@
     /// The revision that they lead to.
     pub revision: Revision,
     /// Whether they are all there is: what is not named does not exist.
-    pub whole: bool,
+    pub is_snapshot: bool,
     /// The facts.
     pub entries: Vec<VersionedEntry>,
 }
--- a/crates/core/tests/direct/directory.rs
+++ b/crates/core/tests/direct/directory.rs
@@ -50,7 +50,7 @@
         let news: Vec<VersionedEntry> = changes.iter().zip(12_u64..)
             .map(|((kind, index), revision)| VersionedEntry { revision, entry: fact(*kind, *index, revision) }).collect();
         let single = |versioned: &VersionedEntry| Delta {
-            since: versioned.revision - 1, revision: versioned.revision, whole: false, entries: vec![versioned.clone()],
+            since: versioned.revision - 1, revision: versioned.revision, is_snapshot: false, entries: vec![versioned.clone()],
         };
         let mut straight = Directory::default();
         straight.apply(Timestamp::ZERO, &whole(4));
@@ -83,7 +83,7 @@
         let keep = missed.index(changes.len());
         for ((count, (kind, index)), revision) in changes.iter().enumerate().zip(12_u64..) {
             let facts = vec![VersionedEntry { revision, entry: fact(*kind, *index, revision) }];
-            let delta = Delta { since: revision - 1, revision, whole: false, entries: facts };
+            let delta = Delta { since: revision - 1, revision, is_snapshot: false, entries: facts };
             source.apply(Timestamp::ZERO, &delta);
             if count < keep {
                 behind.apply(Timestamp::ZERO, &delta);
@@ -103,7 +103,7 @@
     let mut directory = Directory::default();
     directory.apply(Timestamp::ZERO, &whole(2));
     let facts = vec![VersionedEntry { revision: 20, entry: StoreEntry::Target(target_id(0), None) }];
-    directory.apply(Timestamp::ZERO, &Delta { since: 19, revision: 20, whole: false, entries: facts });
+    directory.apply(Timestamp::ZERO, &Delta { since: 19, revision: 20, is_snapshot: false, entries: facts });
     assert_eq!(directory.revision(), 11);
 }
 
@@ -114,7 +114,7 @@
     let mut directory = Directory::default();
     directory.apply(Timestamp::ZERO, &whole(3));
     let evacuated = vec![VersionedEntry { revision: 13, entry: StoreEntry::Evacuated(domain(1), true) }];
-    directory.apply(Timestamp::ZERO, &Delta { since: 11, revision: 13, whole: false, entries: evacuated });
+    directory.apply(Timestamp::ZERO, &Delta { since: 11, revision: 13, is_snapshot: false, entries: evacuated });
     let later = Delta { revision: 30, ..whole(2) };
     directory.apply(Duration::from_secs(1), &later);
     let (takes, out, _) = picture(&directory);
@@ -130,14 +130,14 @@
     directory.apply(Timestamp::ZERO, &whole(2));
     let gone = |revision: u64, index: usize| {
         let facts = vec![VersionedEntry { revision, entry: StoreEntry::Target(target_id(index), None) }];
-        Delta { since: revision - 1, revision, whole: false, entries: facts }
+        Delta { since: revision - 1, revision, is_snapshot: false, entries: facts }
     };
     directory.apply(Duration::from_secs(1), &gone(12, 0));
     assert!(directory.target(target_id(0)).is_some());
     directory.apply(Duration::from_mins(5), &gone(13, 1));
     assert!(directory.target(target_id(0)).is_none());
-    assert!(directory.delta_since(Duration::from_mins(5), 11).whole);
-    assert!(!directory.delta_since(Duration::from_mins(5), 12).whole);
+    assert!(directory.delta_since(Duration::from_mins(5), 11).is_snapshot);
+    assert!(!directory.delta_since(Duration::from_mins(5), 12).is_snapshot);
 }
 
 /// A target has left the store and still serves its last flows. An instance that starts now gets their packets, and only a
@@ -147,7 +147,7 @@
     let mut source = Directory::default();
     source.apply(Timestamp::ZERO, &whole(2));
     let gone = vec![VersionedEntry { revision: 12, entry: StoreEntry::Target(target_id(1), None) }];
-    source.apply(Duration::from_secs(1), &Delta { since: 11, revision: 12, whole: false, entries: gone });
+    source.apply(Duration::from_secs(1), &Delta { since: 11, revision: 12, is_snapshot: false, entries: gone });
     let mut fresh = Directory::default();
     fresh.apply(Duration::from_secs(2), &source.delta_since(Duration::from_secs(2), 0));
     let target = fresh.by_cookie(cookie(target_id(1))).expect("known by its cookie");
--- a/crates/core/tests/direct/fleet.rs
+++ b/crates/core/tests/direct/fleet.rs
@@ -117,7 +117,7 @@
         .map(|fact| VersionedEntry { revision: 10, entry: fact })
         .collect();
     facts.push(VersionedEntry { revision: 11, entry: StoreEntry::Routing(routing()) });
-    Delta { since: 0, revision: 11, whole: true, entries: facts }
+    Delta { since: 0, revision: 11, is_snapshot: true, entries: facts }
 }
 
 fn instance_address(index: usize) -> SocketAddr {
@@ -422,7 +422,7 @@
         self.targets.extend(indices.iter().map(|index| (target_id(*index), SimTarget::default())));
         let fact = |index: &usize| StoreEntry::Target(target_id(*index), Some(target_facts(*index, Duration::ZERO)));
         let facts = indices.iter().map(|index| VersionedEntry { revision, entry: fact(index) }).collect();
-        self.publish(&Delta { since: revision - 1, revision, whole: false, entries: facts });
+        self.publish(&Delta { since: revision - 1, revision, is_snapshot: false, entries: facts });
     }
 
     /// Makes the fabric hand each caller to an instance of its own failure domain that says it is ready, or, while none
--- a/crates/core/tests/direct/load.rs
+++ b/crates/core/tests/direct/load.rs
@@ -225,7 +225,7 @@
     sim.route_by_readiness();
     sim.run_until(secs(3));
     let taken_out = VersionedEntry { revision: 20, entry: StoreEntry::Evacuated(domain(1), true) };
-    sim.publish(&Delta { since: 11, revision: 20, whole: false, entries: vec![taken_out] });
+    sim.publish(&Delta { since: 11, revision: 20, is_snapshot: false, entries: vec![taken_out] });
     sim.run_until(secs(4));
     sim.cut_off(1);
     // One that starts meanwhile knows nothing of the cut.
@@ -237,7 +237,7 @@
     assert!(at_all > 0.999, "{at_all}");
     sim.cut = None;
     let brought_back = VersionedEntry { revision: 30, entry: StoreEntry::Evacuated(domain(1), false) };
-    sim.publish(&Delta { since: 20, revision: 30, whole: false, entries: vec![brought_back] });
+    sim.publish(&Delta { since: 20, revision: 30, is_snapshot: false, entries: vec![brought_back] });
     sim.run_until(secs(16));
     sim.check();
     let (in_time, at_all) = sim.served(secs(11), secs(15));
--- a/crates/core/tests/direct/members.rs
+++ b/crates/core/tests/direct/members.rs
@@ -239,7 +239,7 @@
         let since = self.store_revision;
         self.store_revision += 1;
         self.run(EXCHANGE);
-        let delta = Delta { since, revision: self.store_revision, whole: false, entries: Vec::new() };
+        let delta = Delta { since, revision: self.store_revision, is_snapshot: false, entries: Vec::new() };
         for index in 0..self.instances.len() {
             let refused = self.refused_by_store.contains(&index);
             let watches =
--- a/crates/core/tests/direct/readiness.rs
+++ b/crates/core/tests/direct/readiness.rs
@@ -27,7 +27,7 @@
     steering.learn(Timestamp::ZERO, &whole(8), &mut Vec::new());
     assert_eq!(steering.readiness(Timestamp::ZERO, false), Readiness::Ready);
     let taken_out = VersionedEntry { revision: 20, entry: StoreEntry::Evacuated(domain(0), true) };
-    let delta = Delta { since: 11, revision: 20, whole: false, entries: vec![taken_out] };
+    let delta = Delta { since: 11, revision: 20, is_snapshot: false, entries: vec![taken_out] };
     steering.learn(Timestamp::ZERO, &delta, &mut Vec::new());
     steering
 }
@@ -56,7 +56,7 @@
         revision: 30 + index as u64,
         entry: StoreEntry::Evacuated(domain(index), true),
     };
-    let delta = Delta { since: 20, revision: 40, whole: false, entries: (1..4).map(out).collect() };
+    let delta = Delta { since: 20, revision: 40, is_snapshot: false, entries: (1..4).map(out).collect() };
     steering.learn(ms(10), &delta, &mut Vec::new());
     assert_eq!(steering.readiness(ms(20), false), Readiness::Ready);
 }
--- a/crates/core/tests/direct/routes.rs
+++ b/crates/core/tests/direct/routes.rs
@@ -100,7 +100,7 @@
         let (revision, routing) = self.latest(self.revision);
         let fact = VersionedEntry { revision: *revision, entry: StoreEntry::Routing(routing.clone()) };
         let facts = if *revision > since { vec![fact] } else { Vec::new() };
-        Delta { since, revision: self.revision, whole: since == 0, entries: facts }
+        Delta { since, revision: self.revision, is_snapshot: since == 0, entries: facts }
     }
 
     fn play(&mut self, step: &Step) {
@@ -196,7 +196,7 @@
     let routes = |timeout| (0..=255).map(|index| route(index, if index == 7 { timeout } else { 1 })).collect();
     let news = |since, revision, version| {
         let fact = StoreEntry::Routing(configuration(version, routes(version)));
-        Delta { since, revision, whole: since == 0, entries: vec![VersionedEntry { revision, entry: fact }] }
+        Delta { since, revision, is_snapshot: since == 0, entries: vec![VersionedEntry { revision, entry: fact }] }
     };
     watcher.apply(NOW, &news(0, 10, 1));
     let mut other = watcher.clone();
--- a/crates/core/tests/direct/rules.rs
+++ b/crates/core/tests/direct/rules.rs
@@ -80,7 +80,7 @@
 }
 
 fn news(revision: u64, fact: StoreEntry) -> Delta {
-    Delta { since: revision - 1, revision, whole: false, entries: vec![VersionedEntry { revision, entry: fact }] }
+    Delta { since: revision - 1, revision, is_snapshot: false, entries: vec![VersionedEntry { revision, entry: fact }] }
 }
 
 /// All targets of a service are cold, and 88 instances get SYNs for it, some of them not knowing of the others. A cold
@@ -370,7 +370,7 @@
     }
     let restarted = StoreEntry::Target(target_id(0), Some(target_facts(0, Duration::from_secs(2))));
     let facts = vec![VersionedEntry { revision: 30, entry: restarted }];
-    steering.learn(ms(100), &Delta { since: 11, revision: 30, whole: false, entries: facts }, &mut effects);
+    steering.learn(ms(100), &Delta { since: 11, revision: 30, is_snapshot: false, entries: facts }, &mut effects);
     effects.clear();
     for port in 1..10 {
         steering.packet(ms(210), &segment(port, SegmentKind::Open { copies: 1 }), b"syn", &mut effects);
--- a/crates/direct/src/process/news.rs
+++ b/crates/direct/src/process/news.rs
@@ -79,7 +79,7 @@
             // A whole picture is large and comes after a gap: it is announced, and who lacks it pulls it.
             let told = self.steering.directory().relayed(delta);
             let told = peers::fits_push(&told).then(|| Arc::new(told));
-            let effects = if delta.whole { Vec::new() } else { self.fleet.push(now, revision, told) };
+            let effects = if delta.is_snapshot { Vec::new() } else { self.fleet.push(now, revision, told) };
             self.carry_out_fleet(effects);
         }
     }
@@ -147,7 +147,7 @@
     /// Logs news that took so long to be asked for.
     pub(super) fn learned(&mut self, delta: &Delta, from: &'static str, took: Duration) {
         let directory = self.steering.directory();
-        info!(self.log, "news"; "from" => from, "facts" => delta.entries.len(), "whole" => delta.whole,
+        info!(self.log, "news"; "from" => from, "facts" => delta.entries.len(), "whole" => delta.is_snapshot,
             "took_ms" => millis(took), "revision" => directory.revision(), "version" => directory.version());
         self.look_at_readiness();
     }
--- a/crates/direct/src/store_reader.rs
+++ b/crates/direct/src/store_reader.rs
@@ -89,6 +89,6 @@
 fn said(since: Revision, whole: bool, answer: Answer, after: &mut Revision) -> Command {
     *after = answer.revision.max(since);
     let refused = answer.decoded.refused.len();
-    let delta = Delta { since, revision: *after, whole, entries: answer.decoded.facts };
+    let delta = Delta { since, revision: *after, is_snapshot: whole, entries: answer.decoded.facts };
     Command::StoreSaid { delta, refused }
 }
--- a/crates/direct/tests/handovers.rs
+++ b/crates/direct/tests/handovers.rs
@@ -29,7 +29,7 @@
             entry: StoreEntry::Target(0xA000 + u64::from(index), Some(facts)),
         }
     };
-    let delta = Delta { since: 0, revision: 400, whole: true, entries: (0..targets).map(target).collect() };
+    let delta = Delta { since: 0, revision: 400, is_snapshot: true, entries: (0..targets).map(target).collect() };
     Handover { delta, ..Handover::default() }
 }
 
