--- a/crates/core/src/direct/directory.rs
+++ b/crates/core/src/direct/directory.rs
@@ -19,7 +19,7 @@
 use crate::direct::store_entries::Routing;
 use crate::direct::store_entries::RoutingChange;
 use crate::direct::store_entries::StoreEntry;
-use crate::direct::store_entries::TargetFacts;
+use crate::direct::store_entries::TargetSpec;
 use crate::direct::store_entries::VersionedEntry;
 use crate::maps::Map;
 use hawthornshift_model::Revision;
@@ -53,7 +53,7 @@
     /// Revision of what is known of it.
     pub revision: Revision,
     /// What its latest entry said.
-    pub facts: TargetFacts,
+    pub facts: TargetSpec,
     /// Whether it may get new flows.
     pub standing: Standing,
     /// When it stops being cold.
@@ -265,7 +265,7 @@
         if new { Learned::New } else { Learned::Known }
     }
 
-    fn learn_target(&mut self, now: Timestamp, revision: Revision, id: TargetId, facts: &TargetFacts) -> bool {
+    fn learn_target(&mut self, now: Timestamp, revision: Revision, id: TargetId, facts: &TargetSpec) -> bool {
         let known = self.targets.get(&id);
         if known.is_some_and(|target| target.revision >= revision) {
             return false;
@@ -290,12 +290,12 @@
     }
 
     /// Takes over what a peer remembers of a target that is gone from the store.
-    fn learn_left(&mut self, now: Timestamp, revision: Revision, id: TargetId, facts: &TargetFacts) -> bool {
+    fn learn_left(&mut self, now: Timestamp, revision: Revision, id: TargetId, facts: &TargetSpec) -> bool {
         if self.targets.contains_key(&id) {
             return self.learn_missing(now, revision, id);
         }
         // Not known since when, so it gets no new flows: the grace for entries that lapse may be over.
-        let facts = TargetFacts { draining: true, ..facts.clone() };
+        let facts = TargetSpec { draining: true, ..facts.clone() };
         let (standing, cold_until) = (Standing::Missing(now), Timestamp::ZERO);
         self.targets.insert(id, Target { id, revision, facts, standing, cold_until, known_since: now });
         true
@@ -416,7 +416,7 @@
         return StoreEntry::Left(target.id, target.facts.clone());
     }
     let cold_for = target.cold_until.saturating_sub(now);
-    StoreEntry::Target(target.id, Some(TargetFacts { cold_for, ..target.facts.clone() }))
+    StoreEntry::Target(target.id, Some(TargetSpec { cold_for, ..target.facts.clone() }))
 }
 
 /// What a whole picture names.
--- a/crates/core/src/direct/store_entries.rs
+++ b/crates/core/src/direct/store_entries.rs
@@ -115,7 +115,7 @@
 /// What a target's entry says.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct TargetFacts {
+pub struct TargetSpec {
     /// Name of its service.
     pub service: String,
     /// Where it takes packets.
@@ -137,10 +137,10 @@
 #[serde(deny_unknown_fields)]
 pub enum StoreEntry {
     /// A target's entry, or that there is none.
-    Target(TargetId, Option<TargetFacts>),
+    Target(TargetId, Option<TargetSpec>),
     /// What the entry of a target said before it was removed. Only instances tell this, each other: the target may still
     /// serve its flows, and one that has just started could not read of it in the store any more.
-    Left(TargetId, TargetFacts),
+    Left(TargetId, TargetSpec),
     /// Whether a failure domain is taken out.
     Evacuated(String, bool),
     /// The configuration.
--- a/crates/core/tests/direct/fleet.rs
+++ b/crates/core/tests/direct/fleet.rs
@@ -46,7 +46,7 @@
 use hawthornshift_core::direct::store_entries::ServiceFacts;
 use hawthornshift_core::direct::store_entries::Share;
 use hawthornshift_core::direct::store_entries::StoreEntry;
-use hawthornshift_core::direct::store_entries::TargetFacts;
+use hawthornshift_core::direct::store_entries::TargetSpec;
 use hawthornshift_core::direct::store_entries::VersionedEntry;
 use hawthornshift_core::membership::Identity;
 use hawthornshift_model::Revision;
@@ -89,11 +89,11 @@
     SocketAddrV4::new(Ipv4Addr::new(198, 18, 0, 1), 443)
 }
 
-pub fn target_facts(index: usize, cold_for: Duration) -> TargetFacts {
+pub fn target_facts(index: usize, cold_for: Duration) -> TargetSpec {
     let [high, low] = u16::try_from(index).unwrap().to_be_bytes();
     let address = SocketAddrV4::new(Ipv4Addr::new(10, 9, high, low), 8_000);
     let (service, failure_domain) = (SERVICE.to_owned(), domain(index));
-    TargetFacts { service, address, failure_domain, slots: 2, draining: false, cold_for, born: 0 }
+    TargetSpec { service, address, failure_domain, slots: 2, draining: false, cold_for, born: 0 }
 }
 
 pub fn routing() -> Routing {
--- a/crates/direct/tests/handovers.rs
+++ b/crates/direct/tests/handovers.rs
@@ -7,7 +7,7 @@
 use hawthornshift_core::direct::message::Handover;
 use hawthornshift_core::direct::store_entries::Delta;
 use hawthornshift_core::direct::store_entries::StoreEntry;
-use hawthornshift_core::direct::store_entries::TargetFacts;
+use hawthornshift_core::direct::store_entries::TargetSpec;
 use hawthornshift_core::direct::store_entries::VersionedEntry;
 use hawthornshift_direct::peers::HandoverError;
 use hawthornshift_direct::peers::decode_handover;
@@ -15,7 +15,7 @@
 
 fn whole(targets: u8) -> Handover {
     let target = |index: u8| {
-        let facts = TargetFacts {
+        let facts = TargetSpec {
             service: "orders".to_owned(),
             address: std::net::SocketAddrV4::new([10, 9, 0, index].into(), 8_000),
             failure_domain: format!("domain-{}", index % 6),
