--- a/crates/core/src/direct/store_entries.rs
+++ b/crates/core/src/direct/store_entries.rs
@@ -73,7 +73,7 @@
 /// What is published of a service.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct ServiceFacts {
+pub struct ServiceSpec {
     /// Its name.
     pub name: String,
     /// How long a target that has just started stays cold.
@@ -89,7 +89,7 @@
     /// All routes.
     pub routes: Vec<Route>,
     /// All services.
-    pub services: Vec<ServiceFacts>,
+    pub services: Vec<ServiceSpec>,
     /// Time after which an idle flow may be forgotten.
     pub idle_timeout: Duration,
 }
@@ -107,7 +107,7 @@
     /// Routes that are gone.
     pub removed: Vec<SocketAddrV4>,
     /// All services.
-    pub services: Vec<ServiceFacts>,
+    pub services: Vec<ServiceSpec>,
     /// Time after which an idle flow may be forgotten.
     pub idle_timeout: Duration,
 }
--- a/crates/core/tests/direct/fleet.rs
+++ b/crates/core/tests/direct/fleet.rs
@@ -43,7 +43,7 @@
 use hawthornshift_core::direct::store_entries::RequestKind;
 use hawthornshift_core::direct::store_entries::Route;
 use hawthornshift_core::direct::store_entries::Routing;
-use hawthornshift_core::direct::store_entries::ServiceFacts;
+use hawthornshift_core::direct::store_entries::ServiceSpec;
 use hawthornshift_core::direct::store_entries::Share;
 use hawthornshift_core::direct::store_entries::StoreEntry;
 use hawthornshift_core::direct::store_entries::TargetSpec;
@@ -106,7 +106,7 @@
         latency_objective: OBJECTIVE,
         priority: 1,
     };
-    let service = ServiceFacts { name: SERVICE.to_owned(), cold_time: Duration::from_secs(2) };
+    let service = ServiceSpec { name: SERVICE.to_owned(), cold_time: Duration::from_secs(2) };
     Routing { version: 1, routes: vec![route], services: vec![service], idle_timeout: Duration::from_secs(15) }
 }
 
--- a/crates/core/tests/direct/routes.rs
+++ b/crates/core/tests/direct/routes.rs
@@ -19,7 +19,7 @@
 use hawthornshift_core::direct::store_entries::RequestKind;
 use hawthornshift_core::direct::store_entries::Route;
 use hawthornshift_core::direct::store_entries::Routing;
-use hawthornshift_core::direct::store_entries::ServiceFacts;
+use hawthornshift_core::direct::store_entries::ServiceSpec;
 use hawthornshift_core::direct::store_entries::Share;
 use hawthornshift_core::direct::store_entries::StoreEntry;
 use hawthornshift_core::direct::store_entries::VersionedEntry;
@@ -40,7 +40,7 @@
 }
 
 fn configuration(version: u64, routes: Vec<Route>) -> Routing {
-    let service = ServiceFacts { name: SERVICE.to_owned(), cold_time: Duration::from_secs(2) };
+    let service = ServiceSpec { name: SERVICE.to_owned(), cold_time: Duration::from_secs(2) };
     Routing { version, routes, services: vec![service], idle_timeout: Duration::from_secs(15) }
 }
 
