--- a/crates/core/src/direct/directory.rs
+++ b/crates/core/src/direct/directory.rs
@@ -53,9 +53,11 @@
     /// Revision of what is known of it.
     pub revision: Revision,
     /// What its latest entry said.
-    pub facts: TargetSpec,
+    #[serde(rename = "facts")]
+    pub spec: TargetSpec,
     /// Whether it may get new flows.
-    pub standing: Standing,
+    #[serde(rename = "standing")]
+    pub entry_state: Standing,
     /// When it stops being cold.
     pub cold_until: Timestamp,
     /// When this instance first knew of this start of it.
@@ -72,10 +74,10 @@
     /// Tells whether the target's entry allows new flows.
     #[must_use]
     pub fn takes_flows(&self, now: Timestamp) -> bool {
-        match self.standing {
+        match self.entry_state {
             Standing::Listed => true,
             Standing::Draining => false,
-            Standing::Missing(since) => !self.facts.draining && now.saturating_sub(since) < LAPSE_GRACE,
+            Standing::Missing(since) => !self.spec.draining && now.saturating_sub(since) < LAPSE_GRACE,
         }
     }
 
@@ -159,11 +161,11 @@
     #[must_use]
     pub fn is_replaced(&self, id: TargetId) -> bool {
         let Some(former) = self.targets.get(&id) else { return false };
-        if !matches!(former.standing, Standing::Missing(_)) {
+        if !matches!(former.entry_state, Standing::Missing(_)) {
             return false;
         }
-        let mut listed = self.targets.values().filter(|target| !matches!(target.standing, Standing::Missing(_)));
-        listed.any(|target| target.facts.address == former.facts.address)
+        let mut listed = self.targets.values().filter(|target| !matches!(target.entry_state, Standing::Missing(_)));
+        listed.any(|target| target.spec.address == former.spec.address)
     }
 
     /// Returns all targets that are known.
@@ -196,7 +198,7 @@
 
     fn is_candidate(&self, now: Timestamp, target: &Target) -> bool {
         target.takes_flows(now)
-            && !self.is_evacuated(&target.facts.failure_domain)
+            && !self.is_evacuated(&target.spec.failure_domain)
             // Of two ids with one cookie only the one that the cookie leads back to can be served.
             && self.by_cookie.get(&target.cookie()) == Some(&target.id)
     }
@@ -204,7 +206,7 @@
     /// Returns how long a target's service stays cold after a start.
     #[must_use]
     pub fn cold_time(&self, target: TargetId) -> Duration {
-        let service = self.targets.get(&target).map(|target| target.facts.service.as_str());
+        let service = self.targets.get(&target).map(|target| target.spec.service.as_str());
         let services = self.routing().map(|routing| routing.services.as_slice()).unwrap_or_default();
         let facts = services.iter().find(|facts| Some(facts.name.as_str()) == service);
         facts.map_or(Duration::ZERO, |facts| facts.cold_time)
@@ -270,21 +272,21 @@
         if known.is_some_and(|target| target.revision >= revision) {
             return false;
         }
-        let same_start = known.filter(|target| target.facts.born == facts.born);
+        let same_start = known.filter(|target| target.spec.started_at_ms == facts.started_at_ms);
         let known_since = same_start.map_or(now, |target| target.known_since);
         let standing = if facts.draining { Standing::Draining } else { Standing::Listed };
         // The entry was written before it is read, so counting its time from now never ends it too early.
         let cold_until = if facts.cold_for.is_zero() { Timestamp::ZERO } else { now + facts.cold_for };
         let facts = facts.clone();
-        self.targets.insert(id, Target { id, revision, facts, standing, cold_until, known_since });
+        self.targets.insert(id, Target { id, revision, spec: facts, entry_state: standing, cold_until, known_since });
         true
     }
 
     fn learn_missing(&mut self, now: Timestamp, revision: Revision, id: TargetId) -> bool {
         let Some(target) = self.targets.get_mut(&id).filter(|target| target.revision < revision) else { return false };
         target.revision = revision;
-        if !matches!(target.standing, Standing::Missing(_)) {
-            target.standing = Standing::Missing(now);
+        if !matches!(target.entry_state, Standing::Missing(_)) {
+            target.entry_state = Standing::Missing(now);
         }
         true
     }
@@ -297,7 +299,8 @@
         // Not known since when, so it gets no new flows: the grace for entries that lapse may be over.
         let facts = TargetSpec { draining: true, ..facts.clone() };
         let (standing, cold_until) = (Standing::Missing(now), Timestamp::ZERO);
-        self.targets.insert(id, Target { id, revision, facts, standing, cold_until, known_since: now });
+        self.targets
+            .insert(id, Target { id, revision, spec: facts, entry_state: standing, cold_until, known_since: now });
         true
     }
 
@@ -320,7 +323,7 @@
     /// They have idled, and an entry that tells of it may arrive after the word that the domain is back. Sent their
     /// full share in between, they would fall over.
     fn chill(&mut self, now: Timestamp, domain: &str) {
-        let inside = self.targets.values().filter(|target| target.facts.failure_domain == domain);
+        let inside = self.targets.values().filter(|target| target.spec.failure_domain == domain);
         let inside: Vec<(TargetId, Duration)> = inside.map(|target| (target.id, self.cold_time(target.id))).collect();
         for (id, cold_time) in inside {
             if let Some(target) = self.targets.get_mut(&id) {
@@ -363,7 +366,7 @@
 
     /// Forgets targets that have been missing for longer than any flow of theirs may live.
     fn forget(&mut self, now: Timestamp) -> bool {
-        let old = |target: &Target| matches!(target.standing, Standing::Missing(since) if now.saturating_sub(since) > REMEMBER);
+        let old = |target: &Target| matches!(target.entry_state, Standing::Missing(since) if now.saturating_sub(since) > REMEMBER);
         let before = self.targets.len();
         let newest = self.targets.values().filter(|target| old(target)).map(|target| target.revision).max();
         self.targets.retain(|_, target| !old(target));
@@ -376,7 +379,7 @@
         self.by_service.clear();
         for target in self.targets.values() {
             self.by_cookie.entry(target.cookie()).or_insert(target.id);
-            self.by_service.entry(target.facts.service.clone()).or_default().push(target.id);
+            self.by_service.entry(target.spec.service.clone()).or_default().push(target.id);
         }
     }
 
@@ -412,11 +415,11 @@
 
 /// Returns a target as it is told to a peer: its cold time counts from now.
 fn told(now: Timestamp, target: &Target) -> StoreEntry {
-    if matches!(target.standing, Standing::Missing(_)) {
-        return StoreEntry::Left(target.id, target.facts.clone());
+    if matches!(target.entry_state, Standing::Missing(_)) {
+        return StoreEntry::Left(target.id, target.spec.clone());
     }
     let cold_for = target.cold_until.saturating_sub(now);
-    StoreEntry::Target(target.id, Some(TargetSpec { cold_for, ..target.facts.clone() }))
+    StoreEntry::Target(target.id, Some(TargetSpec { cold_for, ..target.spec.clone() }))
 }
 
 /// What a whole picture names.
--- a/crates/core/src/direct/domain_reach.rs
+++ b/crates/core/src/direct/domain_reach.rs
@@ -45,7 +45,7 @@
     ///
     /// Each instance would else have to find out for itself, and those with few requests would leave the domain idle for long.
     pub fn answered(&mut self, now: Timestamp, target: &Target) -> bool {
-        let domain = key(&target.facts.failure_domain);
+        let domain = key(&target.spec.failure_domain);
         let suspected = self.domains.is_suspected(domain);
         if suspected && self.is_newer(domain, target) {
             return false;
@@ -65,7 +65,7 @@
     ///
     /// Returns for how long to avoid the domain if peers should hear of it.
     pub fn unanswered(&mut self, now: Timestamp, target: &Target, sent: Timestamp) -> Option<Duration> {
-        let domain = key(&target.facts.failure_domain);
+        let domain = key(&target.spec.failure_domain);
         if self.last_failed.insert(domain, target.id) == Some(target.id) {
             return None;
         }
--- a/crates/core/src/direct/placement.rs
+++ b/crates/core/src/direct/placement.rs
@@ -110,7 +110,7 @@
         for target in self.directory.candidates(now, service).filter(warm) {
             any = true;
             any_in_use |= self.outliers.trust(now, target.id, self.handshake_timeout, || false) != Trust::Silent;
-            let domain = target.facts.failure_domain.as_str();
+            let domain = target.spec.failure_domain.as_str();
             let bounded = limit != Limit::Full && full.get(domain, || self.is_at_limit(now, service, domain));
             if tried.contains(&target.id) || !self.has_room(target, limit) || bounded {
                 continue;
@@ -163,13 +163,13 @@
     /// The instances that tell each other of open work share the slots nearby; elsewhere everyone has a small part.
     #[must_use]
     pub fn usage(&self, now: Timestamp, service: &str, domain: Option<&str>) -> Usage {
-        let inside = |target: &Target| domain.is_none_or(|domain| target.facts.failure_domain == domain);
+        let inside = |target: &Target| domain.is_none_or(|domain| target.spec.failure_domain == domain);
         let targets = self.directory.candidates(now, service).filter(|target| inside(target));
-        let slots: u32 = targets.map(|target| target.facts.slots.max(1)).sum();
+        let slots: u32 = targets.map(|target| target.spec.slots.max(1)).sum();
         let instances = if domain == Some(self.domain) { self.group.len() } else { self.instances };
         let instances = u32::try_from(instances).unwrap_or(u32::MAX).max(1);
         let serves = |id: TargetId| {
-            self.directory.target(id).is_some_and(|target| target.facts.service == service && inside(target))
+            self.directory.target(id).is_some_and(|target| target.spec.service == service && inside(target))
         };
         let open = self.work.own().filter(|(target, _)| serves(*target)).map(|(_, count)| count).sum();
         Usage { open, share: f64::from(slots) / f64::from(instances) }
@@ -183,7 +183,7 @@
         if !self.mechanisms.has(Mechanism::DomainReach) {
             return None;
         }
-        let of_domain = |id: &TargetId| self.directory.target(*id).is_some_and(|t| t.facts.failure_domain == domain);
+        let of_domain = |id: &TargetId| self.directory.target(*id).is_some_and(|t| t.spec.failure_domain == domain);
         if tried.iter().any(of_domain) && !self.domains.answers(now, domain) {
             return Some(DomainSuspicion::All);
         }
@@ -203,8 +203,8 @@
         if !self.outliers.is_returning(now, target.id) {
             return false;
         }
-        let all = self.directory.candidates(now, &target.facts.service).count();
-        let candidates = self.directory.candidates(now, &target.facts.service);
+        let all = self.directory.candidates(now, &target.spec.service).count();
+        let candidates = self.directory.candidates(now, &target.spec.service);
         let returning = candidates.filter(|target| self.outliers.is_returning(now, target.id)).count();
         returning * MANY_RETURNING <= all.max(MANY_RETURNING)
     }
@@ -225,12 +225,12 @@
             Limit::Usual => WAITING_AT_TARGET,
             Limit::Full => TARGET_QUEUE,
         };
-        self.work.count(target.id) < target.facts.slots.max(1) + reserve
+        self.work.count(target.id) < target.spec.slots.max(1) + reserve
     }
 
     fn cost(&self, now: Timestamp, target: &Target) -> f64 {
-        let filled = f64::from(self.work.count(target.id) + 1) / f64::from(target.facts.slots.max(1));
-        let local = target.facts.failure_domain == self.domain;
+        let filled = f64::from(self.work.count(target.id) + 1) / f64::from(target.spec.slots.max(1));
+        let local = target.spec.failure_domain == self.domain;
         let remote = match (local, self.all_told) {
             (true, _) => 0.0,
             (false, true) => REMOTE,
--- a/crates/core/src/direct/readiness.rs
+++ b/crates/core/src/direct/readiness.rs
@@ -68,7 +68,7 @@
         }
         let mut any_elsewhere = false;
         for target in self.directory.all_candidates(now) {
-            if target.facts.failure_domain != self.domain {
+            if target.spec.failure_domain != self.domain {
                 any_elsewhere = true;
                 if self.outliers.answered_within(now, target.id, OUT_OF_REACH) {
                     return Readiness::Ready;
--- a/crates/core/src/direct/steering/following.rs
+++ b/crates/core/src/direct/steering/following.rs
@@ -93,7 +93,7 @@
 
     /// Tells whether a target's failure domain has been taken out for so long that nothing may reach it.
     fn is_shut(&self, now: Timestamp, target: TargetId) -> bool {
-        let domain = self.directory.target(target).map(|target: &Target| target.facts.failure_domain.as_str());
+        let domain = self.directory.target(target).map(|target: &Target| target.spec.failure_domain.as_str());
         let since = domain.and_then(|domain| self.directory.evacuated_since(domain));
         since.is_some_and(|since| now.saturating_sub(since) >= self.config.evacuation_grace)
     }
@@ -152,7 +152,7 @@
         if let Some(target) = self.directory.target(target)
             && self.domains.answered(now, target)
         {
-            self.report.alive_domains.push(target.facts.failure_domain.clone());
+            self.report.alive_domains.push(target.spec.failure_domain.clone());
         }
         self.note_alive(now, target);
         if first {
@@ -216,7 +216,7 @@
     /// Learns from an answer how loaded a service's targets are.
     fn learn_load(&mut self, now: Timestamp, target: TargetId, took: Duration) {
         let Some(target) = self.directory.target(target) else { return };
-        let (service, domain) = (target.facts.service.clone(), target.facts.failure_domain.clone());
+        let (service, domain) = (target.spec.service.clone(), target.spec.failure_domain.clone());
         let mut limits = std::mem::take(&mut self.limits);
         limits.answered(now, &service, &domain, took, || self.placement().usage(now, &service, Some(&domain)));
         self.limits = limits;
--- a/crates/core/src/direct/steering/opening.rs
+++ b/crates/core/src/direct/steering/opening.rs
@@ -149,7 +149,7 @@
 
     /// Returns how many flows may wait here: this instance's part of what the targets can do in the horizon.
     fn waiting_capacity(&self, now: Timestamp, service: &str) -> usize {
-        let slots: u32 = self.directory.candidates(now, service).map(|target| target.facts.slots).sum();
+        let slots: u32 = self.directory.candidates(now, service).map(|target| target.spec.slots).sum();
         let usual = self.work.usual().max(Duration::from_millis(1));
         let all = f64::from(slots) * WAITING_HORIZON / usual.as_secs_f64();
         let instances = f64::from(u32::try_from(self.instances.len()).unwrap_or(u32::MAX)).max(1.0);
@@ -233,7 +233,7 @@
         self.report_if_notable(now, flow, target);
         self.outliers.tried(now, target);
         if let Some(target) = self.directory.target(target) {
-            self.domains.tried(now, &target.facts.failure_domain);
+            self.domains.tried(now, &target.spec.failure_domain);
         }
         self.checks.sent(now, target);
         self.forward(target, segment.cookie, Packet::Kept(packet.clone()), effects);
@@ -245,7 +245,7 @@
     }
 
     pub(super) fn forward(&mut self, target: TargetId, carried: Cookie, packet: Packet, effects: &mut Vec<Effect>) {
-        let Some(to) = self.directory.target(target).map(|target| target.facts.address) else { return };
+        let Some(to) = self.directory.target(target).map(|target| target.spec.address) else { return };
         let wanted = cookie(target);
         let cookie = (wanted != carried).then_some(wanted);
         effects.push(Effect::Forward { packet, to, target, cookie });
@@ -258,7 +258,7 @@
         }
         let Some(target) = self.directory.target(target) else { return };
         if let Some(avoidance) = self.domains.unanswered(now, target, sent) {
-            self.report.avoid_domains.push((target.facts.failure_domain.clone(), avoidance));
+            self.report.avoid_domains.push((target.spec.failure_domain.clone(), avoidance));
         }
     }
 
@@ -278,7 +278,7 @@
         if opening.tried.len() + 1 >= MAX_TRIES || !self.has(Mechanism::SecondTry) {
             return false;
         }
-        let Some(service) = self.directory.target(target).map(|target| target.facts.service.clone()) else {
+        let Some(service) = self.directory.target(target).map(|target| target.spec.service.clone()) else {
             return false;
         };
         let mut tried = opening.tried.clone();
--- a/crates/core/src/direct/steering/reporting.rs
+++ b/crates/core/src/direct/steering/reporting.rs
@@ -122,7 +122,7 @@
     /// Reports a request that a target has just been given if it is notable at once: the target is slow or was so when it
     /// was last used, its slots are full, or it is cold, and then every other instance must know that its rate is used up.
     pub(super) fn report_if_notable(&mut self, now: Timestamp, flow: FlowHash, target: TargetId) {
-        let slots = self.directory.target(target).map_or(1, |target| target.facts.slots.max(1));
+        let slots = self.directory.target(target).map_or(1, |target| target.spec.slots.max(1));
         if self.work.has_been_slow(target) || self.work.count(target) > slots || self.is_cold(now, target) {
             self.report_open(now, flow, target);
         }
--- a/crates/core/src/direct/steering/resetting.rs
+++ b/crates/core/src/direct/steering/resetting.rs
@@ -116,9 +116,9 @@
                     self.reset_waiting(now, target, effects);
                 }
             } else if let Some(known) =
-                self.directory.target(target).filter(|known| known.standing != Standing::Draining)
+                self.directory.target(target).filter(|known| known.entry_state != Standing::Draining)
             {
-                effects.push(Effect::Check { target, to: known.facts.address });
+                effects.push(Effect::Check { target, to: known.spec.address });
             } else {
                 // One that leaves may stop to listen while it still serves its flows.
                 self.checks.skip(now, target);
--- a/crates/core/src/direct/steering/timers.rs
+++ b/crates/core/src/direct/steering/timers.rs
@@ -111,7 +111,7 @@
     fn may_be_queued(&self, id: FlowId) -> bool {
         let target = self.flows.get(&id).and_then(|flow| self.directory.target(flow.target));
         target.is_none_or(|target| {
-            let facts = &target.facts;
+            let facts = &target.spec;
             let overloaded = self.limits.size(&facts.service, &facts.failure_domain).is_some();
             overloaded || self.work.count(target.id) > facts.slots.max(1)
         })
@@ -122,8 +122,8 @@
     fn many_are_aside(&self, now: Timestamp, id: FlowId) -> bool {
         let target = self.flows.get(&id).and_then(|flow| self.directory.target(flow.target));
         let Some(target) = target else { return true };
-        let all = self.directory.candidates(now, &target.facts.service).count();
-        let aside = self.directory.candidates(now, &target.facts.service);
+        let all = self.directory.candidates(now, &target.spec.service).count();
+        let aside = self.directory.candidates(now, &target.spec.service);
         let aside = aside.filter(|target| self.failures.is_aside(now, target.id, || true)).count();
         (aside + 1) * MAX_ASIDE > all.max(MAX_ASIDE)
     }
--- a/crates/core/src/direct/store_entries.rs
+++ b/crates/core/src/direct/store_entries.rs
@@ -129,7 +129,8 @@
     /// How much longer it stays cold, counted from when this is told.
     pub cold_for: Duration,
     /// When this life of it began, in milliseconds since the Unix epoch; zero when it does not say.
-    pub born: u64,
+    #[serde(rename = "born")]
+    pub started_at_ms: u64,
 }
 
 /// What one key of the store says.
--- a/crates/core/tests/direct/directory.rs
+++ b/crates/core/tests/direct/directory.rs
@@ -151,7 +151,7 @@
     let mut fresh = Directory::default();
     fresh.apply(Duration::from_secs(2), &source.delta_since(Duration::from_secs(2), 0));
     let target = fresh.by_cookie(cookie(target_id(1))).expect("known by its cookie");
-    assert_eq!(target.facts.address, target_facts(1, Duration::ZERO).address);
+    assert_eq!(target.spec.address, target_facts(1, Duration::ZERO).address);
     assert!(!target.takes_flows(Duration::from_secs(2)));
     assert_eq!(fresh.revision(), 12);
 }
--- a/crates/core/tests/direct/fleet.rs
+++ b/crates/core/tests/direct/fleet.rs
@@ -93,7 +93,7 @@
     let [high, low] = u16::try_from(index).unwrap().to_be_bytes();
     let address = SocketAddrV4::new(Ipv4Addr::new(10, 9, high, low), 8_000);
     let (service, failure_domain) = (SERVICE.to_owned(), domain(index));
-    TargetSpec { service, address, failure_domain, slots: 2, draining: false, cold_for, born: 0 }
+    TargetSpec { service, address, failure_domain, slots: 2, draining: false, cold_for, started_at_ms: 0 }
 }
 
 pub fn routing() -> Routing {
--- a/crates/direct/src/dump.rs
+++ b/crates/direct/src/dump.rs
@@ -101,7 +101,7 @@
         work: steering.work().count(target.id),
         slowness: steering.work().slowness(now, target.id),
         cold: target.is_cold(now),
-        takes_flows: target.takes_flows(now) && !directory.is_evacuated(&target.facts.failure_domain),
+        takes_flows: target.takes_flows(now) && !directory.is_evacuated(&target.spec.failure_domain),
     });
     let dump = Dump {
         ready,
--- a/crates/direct/tests/handovers.rs
+++ b/crates/direct/tests/handovers.rs
@@ -22,7 +22,7 @@
             slots: 2,
             draining: false,
             cold_for: std::time::Duration::ZERO,
-            born: 1_700_000_000_000 + u64::from(index),
+            started_at_ms: 1_700_000_000_000 + u64::from(index),
         };
         VersionedEntry {
             revision: 10 + u64::from(index),
