--- a/crates/core/src/direct/directory.rs
+++ b/crates/core/src/direct/directory.rs
@@ -36,7 +36,7 @@
 
 /// Whether a target's entry allows new flows.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
-pub enum Standing {
+pub enum EntryState {
     /// It serves.
     Listed,
     /// It is about to leave.
@@ -57,7 +57,7 @@
     pub spec: TargetSpec,
     /// Whether it may get new flows.
     #[serde(rename = "standing")]
-    pub entry_state: Standing,
+    pub entry_state: EntryState,
     /// When it stops being cold.
     pub cold_until: Timestamp,
     /// When this instance first knew of this start of it.
@@ -75,9 +75,9 @@
     #[must_use]
     pub fn takes_flows(&self, now: Timestamp) -> bool {
         match self.entry_state {
-            Standing::Listed => true,
-            Standing::Draining => false,
-            Standing::Missing(since) => !self.spec.draining && now.saturating_sub(since) < LAPSE_GRACE,
+            EntryState::Listed => true,
+            EntryState::Draining => false,
+            EntryState::Missing(since) => !self.spec.draining && now.saturating_sub(since) < LAPSE_GRACE,
         }
     }
 
@@ -161,10 +161,10 @@
     #[must_use]
     pub fn is_replaced(&self, id: TargetId) -> bool {
         let Some(former) = self.targets.get(&id) else { return false };
-        if !matches!(former.entry_state, Standing::Missing(_)) {
+        if !matches!(former.entry_state, EntryState::Missing(_)) {
             return false;
         }
-        let mut listed = self.targets.values().filter(|target| !matches!(target.entry_state, Standing::Missing(_)));
+        let mut listed = self.targets.values().filter(|target| !matches!(target.entry_state, EntryState::Missing(_)));
         listed.any(|target| target.spec.address == former.spec.address)
     }
 
@@ -274,7 +274,7 @@
         }
         let same_start = known.filter(|target| target.spec.started_at_ms == facts.started_at_ms);
         let known_since = same_start.map_or(now, |target| target.known_since);
-        let standing = if facts.draining { Standing::Draining } else { Standing::Listed };
+        let standing = if facts.draining { EntryState::Draining } else { EntryState::Listed };
         // The entry was written before it is read, so counting its time from now never ends it too early.
         let cold_until = if facts.cold_for.is_zero() { Timestamp::ZERO } else { now + facts.cold_for };
         let facts = facts.clone();
@@ -285,8 +285,8 @@
     fn learn_missing(&mut self, now: Timestamp, revision: Revision, id: TargetId) -> bool {
         let Some(target) = self.targets.get_mut(&id).filter(|target| target.revision < revision) else { return false };
         target.revision = revision;
-        if !matches!(target.entry_state, Standing::Missing(_)) {
-            target.entry_state = Standing::Missing(now);
+        if !matches!(target.entry_state, EntryState::Missing(_)) {
+            target.entry_state = EntryState::Missing(now);
         }
         true
     }
@@ -298,7 +298,7 @@
         }
         // Not known since when, so it gets no new flows: the grace for entries that lapse may be over.
         let facts = TargetSpec { draining: true, ..facts.clone() };
-        let (standing, cold_until) = (Standing::Missing(now), Timestamp::ZERO);
+        let (standing, cold_until) = (EntryState::Missing(now), Timestamp::ZERO);
         self.targets
             .insert(id, Target { id, revision, spec: facts, entry_state: standing, cold_until, known_since: now });
         true
@@ -366,7 +366,7 @@
 
     /// Forgets targets that have been missing for longer than any flow of theirs may live.
     fn forget(&mut self, now: Timestamp) -> bool {
-        let old = |target: &Target| matches!(target.entry_state, Standing::Missing(since) if now.saturating_sub(since) > REMEMBER);
+        let old = |target: &Target| matches!(target.entry_state, EntryState::Missing(since) if now.saturating_sub(since) > REMEMBER);
         let before = self.targets.len();
         let newest = self.targets.values().filter(|target| old(target)).map(|target| target.revision).max();
         self.targets.retain(|_, target| !old(target));
@@ -415,7 +415,7 @@
 
 /// Returns a target as it is told to a peer: its cold time counts from now.
 fn told(now: Timestamp, target: &Target) -> StoreEntry {
-    if matches!(target.entry_state, Standing::Missing(_)) {
+    if matches!(target.entry_state, EntryState::Missing(_)) {
         return StoreEntry::Left(target.id, target.spec.clone());
     }
     let cold_for = target.cold_until.saturating_sub(now);
--- a/crates/core/src/direct/steering/resetting.rs
+++ b/crates/core/src/direct/steering/resetting.rs
@@ -10,7 +10,7 @@
 use crate::Timestamp;
 use crate::direct::decision::Decision;
 use crate::direct::decision::Outcome;
-use crate::direct::directory::Standing;
+use crate::direct::directory::EntryState;
 use crate::direct::directory::cookie;
 use crate::direct::flows::Stage;
 use crate::direct::load_report::LoadReport;
@@ -116,7 +116,7 @@
                     self.reset_waiting(now, target, effects);
                 }
             } else if let Some(known) =
-                self.directory.target(target).filter(|known| known.entry_state != Standing::Draining)
+                self.directory.target(target).filter(|known| known.entry_state != EntryState::Draining)
             {
                 effects.push(Effect::Check { target, to: known.spec.address });
             } else {
