--- a/crates/core/src/direct/directory.rs
+++ b/crates/core/src/direct/directory.rs
@@ -123,14 +123,14 @@
     /// Tells whether a whole picture with a configuration has been seen; before that nothing may be concluded from
     /// the absence of a route or a target.
     #[must_use]
-    pub fn is_whole(&self) -> bool {
+    pub fn is_synced(&self) -> bool {
         self.whole && self.routes.is_some()
     }
 
     /// Returns the revision from which on to ask for news; zero when everything is wanted.
     #[must_use]
     pub fn ask_since(&self) -> Revision {
-        if self.is_whole() && self.gap.is_none() { self.revision } else { 0 }
+        if self.is_synced() && self.gap.is_none() { self.revision } else { 0 }
     }
 
     /// Returns the version of the configuration in force; zero before the first.
--- a/crates/core/src/direct/readiness.rs
+++ b/crates/core/src/direct/readiness.rs
@@ -60,7 +60,7 @@
     /// then get a reset at once, which is better than silence.
     #[must_use]
     pub fn readiness(&self, now: Timestamp, others_in_reach: bool) -> Readiness {
-        if !self.directory.is_whole() {
+        if !self.directory.is_synced() {
             return Readiness::NotWhole;
         }
         if others_in_reach {
--- a/crates/core/src/direct/steering/mod.rs
+++ b/crates/core/src/direct/steering/mod.rs
@@ -360,7 +360,7 @@
 
     /// Tells whether new flows may be placed by what is known here.
     fn may_place(&self, now: Timestamp) -> bool {
-        self.directory.is_whole() && now >= self.unsure_until
+        self.directory.is_synced() && now >= self.unsure_until
     }
 
     /// Decides about the SYNs that came before the directory was whole, or while it may have been old.
@@ -419,7 +419,7 @@
         effects: &mut Vec<Effect>,
     ) {
         let opens = matches!(segment.kind, SegmentKind::Open { .. });
-        if !self.directory.is_whole() || (opens && !self.may_place(now)) {
+        if !self.directory.is_synced() || (opens && !self.may_place(now)) {
             self.not_ready(now, segment, packet);
             return;
         }
--- a/crates/core/tests/direct/routes.rs
+++ b/crates/core/tests/direct/routes.rs
@@ -149,7 +149,7 @@
         let mut world = World::new();
         for step in &steps {
             world.play(step);
-            for directory in world.instances.iter().filter(|directory| directory.is_whole()) {
+            for directory in world.instances.iter().filter(|directory| directory.is_synced()) {
                 let held = directory.routing().unwrap();
                 let published = world.published.iter().find(|(_, routing)| routing.version == held.version).unwrap();
                 prop_assert_eq!(sorted(held), sorted(&published.1));
--- a/crates/direct/src/process.rs
+++ b/crates/direct/src/process.rs
@@ -213,7 +213,7 @@
 
     fn next_due(&self) -> Timestamp {
         let due = self.steering.next_due().min(self.next_fleet);
-        if self.steering.directory().is_whole() || self.pulling {
+        if self.steering.directory().is_synced() || self.pulling {
             return due;
         }
         due.min(self.starting.next_due(self.fleet.duty().should_read()))
@@ -277,7 +277,7 @@
                 FleetEffect::Send(to, frame) => self.send(&to, frame),
                 FleetEffect::Duty(duty) => self.order(duty),
                 // One that knows nothing yet asks at its own pace, and not all of them the same instance.
-                FleetEffect::Pull(_) if !self.steering.directory().is_whole() => self.starting.hasten(now),
+                FleetEffect::Pull(_) if !self.steering.directory().is_synced() => self.starting.hasten(now),
                 FleetEffect::Pull(from) => self.pull(from),
                 FleetEffect::Confirmed => self.confirm_news(now),
                 FleetEffect::Learn(delta) => self.learn(now, &delta, "peer"),
@@ -383,7 +383,7 @@
             self.steering.tick(now, &mut self.effects);
             self.carry_out();
         }
-        if !self.steering.directory().is_whole() {
+        if !self.steering.directory().is_synced() {
             self.ask_for_everything(now);
         }
         if now < self.next_fleet {
--- a/crates/direct/src/process/news.rs
+++ b/crates/direct/src/process/news.rs
@@ -34,7 +34,7 @@
     pub(super) fn order(&mut self, duty: Duty) {
         let watching = duty == Duty::Begin;
         info!(self.log, "store duty"; "watching" => watching, "age_ms" => millis(self.fleet.duty().age(self.now())));
-        let after = if self.steering.directory().is_whole() { self.steering.directory().revision() } else { 0 };
+        let after = if self.steering.directory().is_synced() { self.steering.directory().revision() } else { 0 };
         self.orders.send_replace(if watching { Order::Watch { after } } else { Order::Rest });
     }
 
