--- a/crates/core/src/direct/directory.rs
+++ b/crates/core/src/direct/directory.rs
@@ -129,7 +129,7 @@
 
     /// Returns the revision from which on to ask for news; zero when everything is wanted.
     #[must_use]
-    pub fn ask_since(&self) -> Revision {
+    pub fn fetch_since(&self) -> Revision {
         if self.is_synced() && self.gap.is_none() { self.revision } else { 0 }
     }
 
--- a/crates/core/tests/direct/routes.rs
+++ b/crates/core/tests/direct/routes.rs
@@ -127,7 +127,7 @@
                 self.instances[*instance].apply(NOW, &delta);
             }
             Step::Pull { from, to } => {
-                let delta = self.instances[*from].delta_since(NOW, self.instances[*to].ask_since());
+                let delta = self.instances[*from].delta_since(NOW, self.instances[*to].fetch_since());
                 self.instances[*to].apply(NOW, &delta);
             }
             Step::Restart(instance) => {
@@ -168,7 +168,7 @@
         }
         world.play(&Step::Watch { instance, told: vec![false; INSTANCES] });
         prop_assert_eq!(world.instances[instance].revision(), world.revision);
-        prop_assert_eq!(world.instances[instance].ask_since(), world.revision);
+        prop_assert_eq!(world.instances[instance].fetch_since(), world.revision);
     }
 
     /// Whoever asks an instance that knows more has everything that it knows after two questions: the first may bring a
--- a/crates/direct/src/process/news.rs
+++ b/crates/direct/src/process/news.rs
@@ -43,7 +43,7 @@
         if std::mem::replace(&mut self.pulling, true) {
             return;
         }
-        let since = self.steering.directory().ask_since();
+        let since = self.steering.directory().fetch_since();
         let (tx, log) = (self.tx.clone(), self.log.clone());
         tokio::spawn(async move {
             let asked = Instant::now();
