--- a/crates/core/src/direct/directory.rs
+++ b/crates/core/src/direct/directory.rs
@@ -402,7 +402,7 @@
     /// Returns news of the store as it is told to peers, after it was applied here: of a configuration only what has
     /// changed.
     #[must_use]
-    pub fn relayed(&self, delta: &Delta) -> Delta {
+    pub fn delta_for_peers(&self, delta: &Delta) -> Delta {
         let retell = |versioned: &VersionedEntry| match (&versioned.entry, &self.routes) {
             // Of several that came at once only the last is in force.
             (StoreEntry::Routing(_), Some(routes)) if versioned.revision < routes.revision() => None,
--- a/crates/core/tests/direct/routes.rs
+++ b/crates/core/tests/direct/routes.rs
@@ -117,7 +117,7 @@
                 let delta = self.news(self.followed[*instance]);
                 self.followed[*instance] = self.revision;
                 self.instances[*instance].apply(NOW, &delta);
-                let relayed = self.instances[*instance].relayed(&delta);
+                let relayed = self.instances[*instance].delta_for_peers(&delta);
                 for index in (0..INSTANCES).filter(|index| told[*index] && index != instance) {
                     self.instances[index].apply(NOW, &relayed);
                 }
@@ -204,7 +204,7 @@
         let (since, revision) = (8 + version, 9 + version);
         let delta = news(since, revision, version);
         watcher.apply(NOW, &delta);
-        let told = watcher.relayed(&delta);
+        let told = watcher.delta_for_peers(&delta);
         assert!(postcard::to_stdvec(&told).unwrap().len() < 400);
         other.apply(NOW, &told);
         assert_eq!(other.version(), version);
--- a/crates/direct/src/process/news.rs
+++ b/crates/direct/src/process/news.rs
@@ -77,7 +77,7 @@
         if !delta.entries.is_empty() {
             let revision = self.steering.directory().revision();
             // A whole picture is large and comes after a gap: it is announced, and who lacks it pulls it.
-            let told = self.steering.directory().relayed(delta);
+            let told = self.steering.directory().delta_for_peers(delta);
             let told = peers::fits_push(&told).then(|| Arc::new(told));
             let effects = if delta.is_snapshot { Vec::new() } else { self.fleet.push(now, revision, told) };
             self.carry_out_fleet(effects);
