--- a/crates/core/src/direct/fleet/mod.rs
+++ b/crates/core/src/direct/fleet/mod.rs
@@ -307,7 +307,7 @@
                 self.membership.acknowledged_indirectly(now, sequence, subject);
                 Vec::new()
             }
-            Message::StoreNews(news) => self.store_news(now, sender, &news, revision),
+            Message::StoreUpdate(news) => self.store_news(now, sender, &news, revision),
         }
     }
 
--- a/crates/core/src/direct/fleet/store_news.rs
+++ b/crates/core/src/direct/fleet/store_news.rs
@@ -18,7 +18,7 @@
 use crate::Timestamp;
 use crate::direct::message::Announcement;
 use crate::direct::message::Message;
-use crate::direct::message::StoreNews;
+use crate::direct::message::StoreUpdate;
 use crate::direct::store_entries::Delta;
 use crate::message::MemberState;
 use crate::message::MemberUpdate;
@@ -65,14 +65,14 @@
         revision: Revision,
         delta: Option<Arc<Delta>>,
     ) -> Vec<FleetEffect> {
-        let news = StoreNews { watcher: None, announcement, delta, holds: revision, relay_to: Vec::new() };
+        let news = StoreUpdate { watcher: None, announcement, delta, holds: revision, relay_to: Vec::new() };
         let mut members: Vec<&MemberUpdate> = self.membership.reachable().collect();
         if members.is_empty() {
             return Vec::new();
         }
         if members.len() <= MAX_DIRECT {
             let addresses = members.iter().map(|member| member.control).collect();
-            return vec![self.frame_for(addresses, Message::StoreNews(news))];
+            return vec![self.frame_for(addresses, Message::StoreUpdate(news))];
         }
         members.shuffle(&mut self.rng);
         // Those believed to answer go first, since the first of each part passes the news on.
@@ -90,7 +90,7 @@
         &mut self,
         now: Timestamp,
         sender: &MemberUpdate,
-        news: &StoreNews,
+        news: &StoreUpdate,
         revision: Revision,
     ) -> Vec<FleetEffect> {
         let watcher = news.watcher.clone().unwrap_or_else(|| sender.clone());
@@ -111,22 +111,28 @@
     }
 
     /// Passes news on to those named in it.
-    fn relay(&self, now: Timestamp, watcher: &MemberUpdate, news: &StoreNews, holds: Revision) -> Option<FleetEffect> {
+    fn relay(
+        &self,
+        now: Timestamp,
+        watcher: &MemberUpdate,
+        news: &StoreUpdate,
+        holds: Revision,
+    ) -> Option<FleetEffect> {
         if now < self.no_relay_until {
             return None;
         }
         let known = news.relay_to.iter().filter_map(|id| self.membership.member(*id));
         let addresses: Vec<SocketAddr> = known.map(|member| member.control).collect();
         let watcher = Some(watcher.clone());
-        let relayed = StoreNews { watcher, holds, relay_to: Vec::new(), ..news.clone() };
-        (!addresses.is_empty()).then(|| self.frame_for(addresses, Message::StoreNews(relayed)))
+        let relayed = StoreUpdate { watcher, holds, relay_to: Vec::new(), ..news.clone() };
+        (!addresses.is_empty()).then(|| self.frame_for(addresses, Message::StoreUpdate(relayed)))
     }
 
     fn judge_announcement(
         &mut self,
         now: Timestamp,
         sender: &MemberUpdate,
-        news: &StoreNews,
+        news: &StoreUpdate,
         revision: Revision,
     ) -> Option<FleetEffect> {
         let announced = news.announcement.revision;
@@ -169,6 +175,6 @@
     firsts.iter().enumerate().map(|(index, first)| (first.control, rest(index))).collect()
 }
 
-fn message(news: &StoreNews, relay_to: Vec<InstanceId>) -> Message {
-    Message::StoreNews(StoreNews { relay_to, ..news.clone() })
+fn message(news: &StoreUpdate, relay_to: Vec<InstanceId>) -> Message {
+    Message::StoreUpdate(StoreUpdate { relay_to, ..news.clone() })
 }
--- a/crates/core/src/direct/message.rs
+++ b/crates/core/src/direct/message.rs
@@ -46,7 +46,8 @@
     /// Comparisons of views.
     View,
     /// News of the store.
-    StoreNews,
+    #[strum(serialize = "store-news")]
+    StoreUpdate,
     /// Open work of targets.
     LoadReport,
 }
@@ -62,7 +63,7 @@
                     FrameKind::Heartbeat
                 }
                 Message::ViewRequest(_) | Message::ViewPart(_) => FrameKind::View,
-                Message::StoreNews(_) => FrameKind::StoreNews,
+                Message::StoreUpdate(_) => FrameKind::StoreUpdate,
             },
         }
     }
@@ -95,13 +96,13 @@
     /// Answers that with a part of what the sender knows where the views differ.
     ViewPart(Vec<MemberUpdate>),
     /// Says how far the store has been read, and perhaps what has just changed in it.
-    StoreNews(StoreNews),
+    StoreUpdate(StoreUpdate),
 }
 
 /// What an instance that watches the store tells all others, by way of a few that pass it on.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct StoreNews {
+pub struct StoreUpdate {
     /// The instance that watches, when another one passes its news on; `None` when it is the sender.
     pub watcher: Option<MemberUpdate>,
     /// How far it has read the store.
--- a/crates/direct/src/process.rs
+++ b/crates/direct/src/process.rs
@@ -51,7 +51,7 @@
 use hawthornshift_core::direct::mechanisms::Mechanism;
 use hawthornshift_core::direct::message::Frame;
 use hawthornshift_core::direct::message::Message;
-use hawthornshift_core::direct::message::StoreNews;
+use hawthornshift_core::direct::message::StoreUpdate;
 use hawthornshift_core::direct::pause::PauseDetector;
 use hawthornshift_core::direct::readiness::Readiness;
 use hawthornshift_core::direct::starting::Starting;
@@ -317,8 +317,8 @@
         if self.peers.send(to, &frame) {
             return;
         }
-        if let Frame::Introduced { sender, message: Message::StoreNews(news) } = frame {
-            let message = Message::StoreNews(StoreNews { delta: None, ..news });
+        if let Frame::Introduced { sender, message: Message::StoreUpdate(news) } = frame {
+            let message = Message::StoreUpdate(StoreUpdate { delta: None, ..news });
             self.peers.send(to, &Frame::Introduced { sender, message });
         }
     }
