--- a/crates/core/src/direct/fleet/mod.rs
+++ b/crates/core/src/direct/fleet/mod.rs
@@ -257,7 +257,7 @@
     pub fn frame(&mut self, now: Timestamp, frame: Frame, revision: Revision) -> Vec<FleetEffect> {
         let (sender, message) = match frame {
             Frame::LoadReport(report) => return vec![FleetEffect::Receive(report)],
-            Frame::Introduced { sender, message } => (sender, message),
+            Frame::WithSender { sender, message } => (sender, message),
         };
         if sender.id == self.membership.me().id {
             return Vec::new();
@@ -387,7 +387,7 @@
     }
 
     fn frame_for(&self, addresses: Vec<SocketAddr>, message: Message) -> FleetEffect {
-        FleetEffect::Send(addresses, Frame::Introduced { sender: self.membership.me().clone(), message })
+        FleetEffect::Send(addresses, Frame::WithSender { sender: self.membership.me().clone(), message })
     }
 
     fn signal(&mut self, now: Timestamp, signal: Signal, revision: Revision) -> Option<FleetEffect> {
--- a/crates/core/src/direct/message.rs
+++ b/crates/core/src/direct/message.rs
@@ -27,7 +27,7 @@
 #[serde(deny_unknown_fields)]
 pub enum Frame {
     /// A message whose sender introduces itself, so that one never heard of becomes known.
-    Introduced {
+    WithSender {
         /// The sender as it sees itself.
         sender: MemberUpdate,
         /// What it says.
@@ -58,7 +58,7 @@
     pub fn kind(&self) -> FrameKind {
         match self {
             Self::LoadReport(_) => FrameKind::LoadReport,
-            Self::Introduced { message, .. } => match message {
+            Self::WithSender { message, .. } => match message {
                 Message::Ping(_) | Message::Ack(_) | Message::IndirectPing { .. } | Message::IndirectAck { .. } => {
                     FrameKind::Heartbeat
                 }
--- a/crates/direct/src/process.rs
+++ b/crates/direct/src/process.rs
@@ -317,9 +317,9 @@
         if self.peers.send(to, &frame) {
             return;
         }
-        if let Frame::Introduced { sender, message: Message::StoreUpdate(news) } = frame {
+        if let Frame::WithSender { sender, message: Message::StoreUpdate(news) } = frame {
             let message = Message::StoreUpdate(StoreUpdate { delta: None, ..news });
-            self.peers.send(to, &Frame::Introduced { sender, message });
+            self.peers.send(to, &Frame::WithSender { sender, message });
         }
     }
 
