--- a/crates/core/src/direct/fleet/mod.rs
+++ b/crates/core/src/direct/fleet/mod.rs
@@ -32,7 +32,7 @@
 use crate::direct::readiness::OUT_OF_REACH;
 use crate::direct::store_entries::Delta;
 use crate::direct::watch::Duty;
-use crate::direct::watch::WatchDuty;
+use crate::direct::watch::WatcherRole;
 use crate::event::InstanceList;
 use crate::event::ListedInstance;
 use crate::membership::Identity;
@@ -99,7 +99,7 @@
 #[derive(Clone, Debug)]
 pub struct Fleet {
     membership: Membership,
-    duty: WatchDuty,
+    duty: WatcherRole,
     rng: SmallRng,
     next_seed_ping: Timestamp,
     contact: bool,
@@ -129,7 +129,7 @@
         membership.read_list(now, &list(seeds));
         Self {
             membership,
-            duty: WatchDuty::new(now),
+            duty: WatcherRole::new(now),
             rng,
             next_seed_ping: now,
             contact: false,
@@ -146,12 +146,12 @@
 
     /// Returns the watch duty.
     #[must_use]
-    pub fn duty(&self) -> &WatchDuty {
+    pub fn duty(&self) -> &WatcherRole {
         &self.duty
     }
 
     /// Returns the watch duty to be told of the store's answers.
-    pub fn duty_mut(&mut self) -> &mut WatchDuty {
+    pub fn duty_mut(&mut self) -> &mut WatcherRole {
         &mut self.duty
     }
 
--- a/crates/core/src/direct/starting.rs
+++ b/crates/core/src/direct/starting.rs
@@ -12,7 +12,7 @@
 use rand::seq::IndexedRandom;
 
 use crate::Timestamp;
-use crate::direct::watch::WatchDuty;
+use crate::direct::watch::WatcherRole;
 
 /// Time after which an instance that no peer has told everything reads the store itself. A peer's answer takes 2 ms
 /// to 10 ms; after a power loss nobody has one, and every millisecond more is one in which nothing is served.
@@ -102,7 +102,7 @@
     }
 
     /// Tells whether to read the store now; `rank` counts the known instances that go before this one.
-    pub fn reads_store(&mut self, now: Timestamp, rank: u32, duty: &WatchDuty) -> bool {
+    pub fn reads_store(&mut self, now: Timestamp, rank: u32, duty: &WatcherRole) -> bool {
         let turn = (TURN * (rank / self.readers)).min(LAST_TURN);
         let slow_link_wait = if rank > 0 && self.slow_link { SLOW_LINK_WAIT } else { Duration::ZERO };
         let due = self.read_after + turn + slow_link_wait;
--- a/crates/core/src/direct/watch.rs
+++ b/crates/core/src/direct/watch.rs
@@ -37,7 +37,7 @@
 
 /// Whether this instance watches the store.
 #[derive(Clone, Copy, Debug)]
-pub struct WatchDuty {
+pub struct WatcherRole {
     watching: bool,
     /// When a fresh announcement was last heard, or this instance began to wait for one.
     heard: Timestamp,
@@ -51,7 +51,7 @@
     no_hearsay_until: Timestamp,
 }
 
-impl WatchDuty {
+impl WatcherRole {
     /// Starts at a time, not watching.
     #[must_use]
     pub fn new(now: Timestamp) -> Self {
--- a/crates/core/tests/direct/starting.rs
+++ b/crates/core/tests/direct/starting.rs
@@ -12,7 +12,7 @@
 use hawthornshift_core::Timestamp;
 use hawthornshift_core::direct::message::Announcement;
 use hawthornshift_core::direct::starting::Starting;
-use hawthornshift_core::direct::watch::WatchDuty;
+use hawthornshift_core::direct::watch::WatcherRole;
 
 const FAST: f64 = 1_000.0;
 const SLOW: f64 = 10.0;
@@ -23,7 +23,7 @@
 
 /// Returns when an instance first reads the store that hears of no watcher.
 fn first_read(starting: &mut Starting, rank: u32) -> Timestamp {
-    let duty = WatchDuty::new(Timestamp::ZERO);
+    let duty = WatcherRole::new(Timestamp::ZERO);
     (0..10_000).map(ms).find(|now| starting.reads_store(*now, rank, &duty)).unwrap()
 }
 
@@ -114,7 +114,7 @@
 #[test]
 fn an_instance_that_nobody_tells_reads_the_store_in_the_end() {
     let mut starting = Starting::new(false, FAST, 0.0);
-    let mut duty = WatchDuty::new(Timestamp::ZERO);
+    let mut duty = WatcherRole::new(Timestamp::ZERO);
     let announcement = Announcement { revision: 5, age: ms(1), leaving: false };
     duty.receive(ms(10), 7, &announcement, true);
     let read = (0..10_000).map(ms).find(|now| starting.reads_store(*now, 3, &duty)).unwrap();
--- a/crates/core/tests/direct/watching.rs
+++ b/crates/core/tests/direct/watching.rs
@@ -10,7 +10,7 @@
 use hawthornshift_core::direct::fleet::instance_id;
 use hawthornshift_core::direct::message::Announcement;
 use hawthornshift_core::direct::watch::Duty;
-use hawthornshift_core::direct::watch::WatchDuty;
+use hawthornshift_core::direct::watch::WatcherRole;
 use hawthornshift_core::membership::Identity;
 use hawthornshift_model::Revision;
 
@@ -18,7 +18,7 @@
 
 /// Duties that hear each other after a step; the lower index ranks before.
 struct Group {
-    duties: Vec<WatchDuty>,
+    duties: Vec<WatcherRole>,
     /// Whether the store answers each of them.
     answered: Vec<bool>,
     up: Vec<bool>,
@@ -28,7 +28,7 @@
 
 impl Group {
     fn new(count: usize) -> Self {
-        let duties = (0..count).map(|_| WatchDuty::new(Timestamp::ZERO)).collect();
+        let duties = (0..count).map(|_| WatcherRole::new(Timestamp::ZERO)).collect();
         Self { duties, answered: vec![true; count], up: vec![true; count], now: Timestamp::ZERO, begun: 0 }
     }
 
@@ -134,7 +134,7 @@
 /// is there it must not begin to watch itself again and again, each time a call that is counted.
 #[test]
 fn an_instance_that_can_ask_a_watcher_does_not_call_the_store() {
-    let mut duty = WatchDuty::new(Timestamp::ZERO);
+    let mut duty = WatcherRole::new(Timestamp::ZERO);
     assert!(duty.should_read());
     duty.begin(ms(20));
     assert!(!duty.should_read());
