--- a/crates/core/src/direct/fleet/mod.rs
+++ b/crates/core/src/direct/fleet/mod.rs
@@ -31,7 +31,7 @@
 use crate::direct::message::Message;
 use crate::direct::readiness::OUT_OF_REACH;
 use crate::direct::store_entries::Delta;
-use crate::direct::watch::Duty;
+use crate::direct::watch::RoleChange;
 use crate::direct::watch::WatcherRole;
 use crate::event::InstanceList;
 use crate::event::ListedInstance;
@@ -82,7 +82,7 @@
     /// Send a datagram to several instances.
     Send(Vec<SocketAddr>, Frame),
     /// Begin or stop watching the store.
-    Duty(Duty),
+    RoleChange(RoleChange),
     /// An announcement has confirmed that nothing newer is known.
     Confirmed,
     /// Fetch everything newer than what is known from an instance.
@@ -431,7 +431,7 @@
         effects.extend(signals.into_iter().filter_map(|signal| self.signal(now, signal, revision)));
         effects.extend(self.catch_up(now, revision));
         effects.extend(self.ask_for_view(now));
-        effects.extend(self.duty.tick(now, self.rank()).map(FleetEffect::Duty));
+        effects.extend(self.duty.tick(now, self.rank()).map(FleetEffect::RoleChange));
         if let Some(announcement) = self.duty.announcement(now, revision) {
             effects.extend(self.tell_everybody(announcement, revision, None));
         }
--- a/crates/core/src/direct/fleet/store_news.rs
+++ b/crates/core/src/direct/fleet/store_news.rs
@@ -104,7 +104,7 @@
         effects.extend(news.delta.clone().map(FleetEffect::Learn));
         let before = rank_key(watcher.id) > rank_key(self.membership.me().id);
         let duty = self.duty.receive(now, watcher.id, &news.announcement, before);
-        effects.extend(duty.map(FleetEffect::Duty));
+        effects.extend(duty.map(FleetEffect::RoleChange));
         self.note_informed(watcher.control);
         effects.extend(self.judge_announcement(now, sender, news, reached));
         effects
--- a/crates/core/src/direct/watch.rs
+++ b/crates/core/src/direct/watch.rs
@@ -28,7 +28,7 @@
 
 /// A change of the duty.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Duty {
+pub enum RoleChange {
     /// Begin to watch.
     Begin,
     /// Stop watching.
@@ -106,7 +106,7 @@
         from: InstanceId,
         announcement: &Announcement,
         ranks_before: bool,
-    ) -> Option<Duty> {
+    ) -> Option<RoleChange> {
         if announcement.leaving || announcement.age > STALE {
             // Counts as long silence of the one that all relied on, so that the first in rank begins at once.
             if self.watcher == Some(from) {
@@ -121,7 +121,7 @@
         let stale = self.answered.is_none_or(|at| now.saturating_sub(at) > STALE);
         if self.watching && (ranks_before || stale || self.leaving) {
             self.watching = false;
-            return Some(Duty::End);
+            return Some(RoleChange::End);
         }
         None
     }
@@ -137,7 +137,7 @@
     }
 
     /// Begins to watch if nobody who ranks before seems to.
-    pub fn tick(&mut self, now: Timestamp, rank: u32) -> Option<Duty> {
+    pub fn tick(&mut self, now: Timestamp, rank: u32) -> Option<RoleChange> {
         if self.watching || self.leaving {
             return None;
         }
@@ -146,7 +146,7 @@
             return None;
         }
         self.begin(now);
-        Some(Duty::Begin)
+        Some(RoleChange::Begin)
     }
 
     /// Begins to watch whatever the others do.
--- a/crates/core/tests/direct/watching.rs
+++ b/crates/core/tests/direct/watching.rs
@@ -9,7 +9,7 @@
 use hawthornshift_core::direct::fleet::FleetEffect;
 use hawthornshift_core::direct::fleet::instance_id;
 use hawthornshift_core::direct::message::Announcement;
-use hawthornshift_core::direct::watch::Duty;
+use hawthornshift_core::direct::watch::RoleChange;
 use hawthornshift_core::direct::watch::WatcherRole;
 use hawthornshift_core::membership::Identity;
 use hawthornshift_model::Revision;
@@ -48,7 +48,7 @@
             }
             let rank = u32::try_from(self.up[..index].iter().filter(|up| **up).count()).unwrap();
             let duty = &mut self.duties[index];
-            self.begun += usize::from(duty.tick(self.now, rank) == Some(Duty::Begin));
+            self.begun += usize::from(duty.tick(self.now, rank) == Some(RoleChange::Begin));
             if duty.is_watching() && self.answered[index] {
                 duty.answered(self.now);
             }
@@ -139,10 +139,10 @@
     duty.begin(ms(20));
     assert!(!duty.should_read());
     let announcement = Announcement { revision: 5, age: ms(1), leaving: false };
-    assert_eq!(duty.receive(ms(30), 7, &announcement, true), Some(Duty::End));
+    assert_eq!(duty.receive(ms(30), 7, &announcement, true), Some(RoleChange::End));
     assert!(!duty.should_read());
     assert_eq!(duty.tick(ms(500), 0), None);
-    assert_eq!(duty.tick(ms(1_100), 0), Some(Duty::Begin));
+    assert_eq!(duty.tick(ms(1_100), 0), Some(RoleChange::Begin));
 }
 
 /// One instance with its revision of the store, and what it asked others for.
--- a/crates/direct/src/process.rs
+++ b/crates/direct/src/process.rs
@@ -275,7 +275,7 @@
         for effect in effects {
             match effect {
                 FleetEffect::Send(to, frame) => self.send(&to, frame),
-                FleetEffect::Duty(duty) => self.order(duty),
+                FleetEffect::RoleChange(duty) => self.order(duty),
                 // One that knows nothing yet asks at its own pace, and not all of them the same instance.
                 FleetEffect::Pull(_) if !self.steering.directory().is_synced() => self.starting.hasten(now),
                 FleetEffect::Pull(from) => self.pull(from),
--- a/crates/direct/src/process/news.rs
+++ b/crates/direct/src/process/news.rs
@@ -22,7 +22,7 @@
 use hawthornshift_core::Timestamp;
 use hawthornshift_core::direct::message::Handover;
 use hawthornshift_core::direct::store_entries::Delta;
-use hawthornshift_core::direct::watch::Duty;
+use hawthornshift_core::direct::watch::RoleChange;
 use hawthornshift_model::Revision;
 
 impl Process {
@@ -31,8 +31,8 @@
         self.carry_out();
     }
 
-    pub(super) fn order(&mut self, duty: Duty) {
-        let watching = duty == Duty::Begin;
+    pub(super) fn order(&mut self, duty: RoleChange) {
+        let watching = duty == RoleChange::Begin;
         info!(self.log, "store duty"; "watching" => watching, "age_ms" => millis(self.fleet.duty().age(self.now())));
         let after = if self.steering.directory().is_synced() { self.steering.directory().revision() } else { 0 };
         self.orders.send_replace(if watching { Order::Watch { after } } else { Order::Rest });
@@ -160,7 +160,7 @@
         }
         if self.starting.reads_store(now, self.fleet.rank(), self.fleet.duty()) {
             self.fleet.duty_mut().begin(now);
-            self.order(Duty::Begin);
+            self.order(RoleChange::Begin);
         }
     }
 }
