--- a/crates/core/src/direct/fleet/store_news.rs
+++ b/crates/core/src/direct/fleet/store_news.rs
@@ -49,7 +49,7 @@
 impl Fleet {
     /// Returns the messages that tell everybody what the store has just said; `delta` only if it fits a datagram.
     pub fn push(&mut self, now: Timestamp, revision: Revision, delta: Option<Arc<Delta>>) -> Vec<FleetEffect> {
-        self.duty.hasten(now);
+        self.duty.announce_now(now);
         let Some(announcement) = self.duty.announcement(now, revision) else { return Vec::new() };
         self.tell_everybody(announcement, revision, delta)
     }
--- a/crates/core/src/direct/watch.rs
+++ b/crates/core/src/direct/watch.rs
@@ -166,7 +166,7 @@
     }
 
     /// Asks for an announcement at once, since there is news.
-    pub fn hasten(&mut self, now: Timestamp) {
+    pub fn announce_now(&mut self, now: Timestamp) {
         self.next_announcement = now;
     }
 }
