--- a/crates/core/src/direct/fleet/mod.rs
+++ b/crates/core/src/direct/fleet/mod.rs
@@ -99,7 +99,7 @@
 #[derive(Clone, Debug)]
 pub struct Fleet {
     membership: Membership,
-    duty: WatcherRole,
+    watcher_role: WatcherRole,
     rng: SmallRng,
     next_seed_ping: Timestamp,
     contact: bool,
@@ -129,7 +129,7 @@
         membership.read_list(now, &list(seeds));
         Self {
             membership,
-            duty: WatcherRole::new(now),
+            watcher_role: WatcherRole::new(now),
             rng,
             next_seed_ping: now,
             contact: false,
@@ -146,13 +146,13 @@
 
     /// Returns the watch duty.
     #[must_use]
-    pub fn duty(&self) -> &WatcherRole {
-        &self.duty
+    pub fn watcher_role(&self) -> &WatcherRole {
+        &self.watcher_role
     }
 
     /// Returns the watch duty to be told of the store's answers.
-    pub fn duty_mut(&mut self) -> &mut WatcherRole {
-        &mut self.duty
+    pub fn watcher_role_mut(&mut self) -> &mut WatcherRole {
+        &mut self.watcher_role
     }
 
     /// Returns the other instances as they are known.
@@ -228,7 +228,7 @@
     /// Declares this instance to be leaving.
     pub fn leave(&mut self, now: Timestamp) {
         self.membership.leave();
-        self.duty.leave(now);
+        self.watcher_role.leave(now);
     }
 
     /// Returns the last word to all members before the process ends.
@@ -316,7 +316,7 @@
         self.membership.absorb_all(now, &heartbeat.members);
         if heartbeat.revision > 0 {
             self.note_informed(sender.control);
-            self.duty.hear_of(now, heartbeat.age);
+            self.watcher_role.hear_of(now, heartbeat.age);
         }
         self.note_behind(now, heartbeat.revision, sender.control, revision);
         if heartbeat.view == self.membership.digest().whole() { PeerView::Same } else { PeerView::Differs }
@@ -378,7 +378,7 @@
     ) -> Heartbeat {
         let members = self.membership.news(to, view);
         let (serving, view) = (self.count(), self.membership.digest().whole());
-        Heartbeat { sequence, serving, view, revision, age: self.duty.age(now), members }
+        Heartbeat { sequence, serving, view, revision, age: self.watcher_role.age(now), members }
     }
 
     fn to(&self, to: InstanceId, message: Message) -> Option<FleetEffect> {
@@ -431,8 +431,8 @@
         effects.extend(signals.into_iter().filter_map(|signal| self.signal(now, signal, revision)));
         effects.extend(self.catch_up(now, revision));
         effects.extend(self.ask_for_view(now));
-        effects.extend(self.duty.tick(now, self.rank()).map(FleetEffect::RoleChange));
-        if let Some(announcement) = self.duty.announcement(now, revision) {
+        effects.extend(self.watcher_role.tick(now, self.rank()).map(FleetEffect::RoleChange));
+        if let Some(announcement) = self.watcher_role.announcement(now, revision) {
             effects.extend(self.tell_everybody(announcement, revision, None));
         }
         effects.extend(self.changes(now));
--- a/crates/core/src/direct/fleet/store_news.rs
+++ b/crates/core/src/direct/fleet/store_news.rs
@@ -49,8 +49,8 @@
 impl Fleet {
     /// Returns the messages that tell everybody what the store has just said; `delta` only if it fits a datagram.
     pub fn push(&mut self, now: Timestamp, revision: Revision, delta: Option<Arc<Delta>>) -> Vec<FleetEffect> {
-        self.duty.announce_now(now);
-        let Some(announcement) = self.duty.announcement(now, revision) else { return Vec::new() };
+        self.watcher_role.announce_now(now);
+        let Some(announcement) = self.watcher_role.announcement(now, revision) else { return Vec::new() };
         self.tell_everybody(announcement, revision, delta)
     }
 
@@ -103,7 +103,7 @@
         let mut effects: Vec<FleetEffect> = self.relay(now, &watcher, news, reached).into_iter().collect();
         effects.extend(news.delta.clone().map(FleetEffect::Learn));
         let before = rank_key(watcher.id) > rank_key(self.membership.me().id);
-        let duty = self.duty.receive(now, watcher.id, &news.announcement, before);
+        let duty = self.watcher_role.receive(now, watcher.id, &news.announcement, before);
         effects.extend(duty.map(FleetEffect::RoleChange));
         self.note_informed(watcher.control);
         effects.extend(self.judge_announcement(now, sender, news, reached));
--- a/crates/core/tests/direct/members.rs
+++ b/crates/core/tests/direct/members.rs
@@ -225,7 +225,7 @@
             Event::Start(_) | Event::Tick(..) => {
                 let effects = instance.fleet.tick(now, revision);
                 self.after(TICK, Event::Tick(index, life));
-                if self.instances[index].as_ref().is_some_and(|instance| instance.fleet.duty().is_watching()) {
+                if self.instances[index].as_ref().is_some_and(|instance| instance.fleet.watcher_role().is_watching()) {
                     self.after(EXCHANGE, Event::StoreAnswered { to: index, life });
                 }
                 effects
@@ -243,7 +243,7 @@
         for index in 0..self.instances.len() {
             let refused = self.refused_by_store.contains(&index);
             let watches =
-                |instance: &Instance| instance.fleet.duty().is_watching() && instance.frozen_until <= self.now;
+                |instance: &Instance| instance.fleet.watcher_role().is_watching() && instance.frozen_until <= self.now;
             if refused || !self.instances[index].as_ref().is_some_and(watches) {
                 continue;
             }
@@ -251,7 +251,7 @@
             let (now, revision) = (self.now, self.store_revision);
             let told = fits.then(|| Arc::new(delta.clone()));
             let instance = self.instances[index].as_mut().unwrap();
-            instance.fleet.duty_mut().answered(now);
+            instance.fleet.watcher_role_mut().answered(now);
             let effects = instance.fleet.push(now, revision, told);
             self.carry_out(index, effects);
         }
@@ -269,8 +269,9 @@
 
     /// Returns who watches the store.
     pub fn watching(&self) -> Vec<usize> {
-        let watches =
-            |index: &usize| self.instances[*index].as_ref().is_some_and(|instance| instance.fleet.duty().is_watching());
+        let watches = |index: &usize| {
+            self.instances[*index].as_ref().is_some_and(|instance| instance.fleet.watcher_role().is_watching())
+        };
         (0..self.instances.len()).filter(watches).collect()
     }
 
@@ -289,7 +290,7 @@
         self.reach(index, self.store_revision);
         let now = self.now;
         if let Some(instance) = &mut self.instances[index] {
-            instance.fleet.duty_mut().answered(now);
+            instance.fleet.watcher_role_mut().answered(now);
         }
     }
 
--- a/crates/core/tests/direct/watching.rs
+++ b/crates/core/tests/direct/watching.rs
@@ -168,7 +168,7 @@
 fn talk(peers: &mut [Peer; 3], now: &mut Timestamp, end: Timestamp) {
     while *now < end {
         *now += STEP;
-        peers[0].fleet.duty_mut().answered(*now);
+        peers[0].fleet.watcher_role_mut().answered(*now);
         let mut under_way: Vec<(usize, FleetEffect)> = Vec::new();
         for (index, peer) in peers.iter_mut().enumerate() {
             let revision = peer.revision;
@@ -200,7 +200,7 @@
 fn an_instance_that_the_watcher_does_not_reach_asks_another_one() {
     let mut peers = [peer(0), peer(1), peer(2)];
     let mut now = Timestamp::ZERO;
-    peers[0].fleet.duty_mut().begin(now);
+    peers[0].fleet.watcher_role_mut().begin(now);
     talk(&mut peers, &mut now, Duration::from_secs(3));
     assert_eq!(peers[2].pulled_from, []);
     peers[0].revision = 7;
--- a/crates/direct/src/metrics.rs
+++ b/crates/direct/src/metrics.rs
@@ -35,8 +35,8 @@
     let (flows, waiting) = sources.steering.sizes();
     let flag = |value: bool| f64::from(u8::from(value));
     gauge!("hawthornshift_ready").set(flag(sources.ready));
-    gauge!("hawthornshift_watching_store").set(flag(sources.fleet.duty().is_watching()));
-    gauge!("hawthornshift_news_age_seconds").set(sources.fleet.duty().age(now).as_secs_f64());
+    gauge!("hawthornshift_watching_store").set(flag(sources.fleet.watcher_role().is_watching()));
+    gauge!("hawthornshift_news_age_seconds").set(sources.fleet.watcher_role().age(now).as_secs_f64());
     gauge!("hawthornshift_store_revision").set(number(usize::try_from(directory.revision()).unwrap_or(usize::MAX)));
     gauge!("hawthornshift_configuration_version")
         .set(number(usize::try_from(directory.version()).unwrap_or(usize::MAX)));
--- a/crates/direct/src/process.rs
+++ b/crates/direct/src/process.rs
@@ -216,7 +216,7 @@
         if self.steering.directory().is_synced() || self.pulling {
             return due;
         }
-        due.min(self.starting.next_due(self.fleet.duty().should_read()))
+        due.min(self.starting.next_due(self.fleet.watcher_role().should_read()))
     }
 
     fn stop(&mut self) {
@@ -417,7 +417,7 @@
             }
         }
         let directory = self.steering.directory();
-        let age = self.fleet.duty().age(now);
+        let age = self.fleet.watcher_role().age(now);
         let knowledge = Knowledge { revision: directory.revision(), version: directory.version(), age };
         for change in self.steering.take_reach_changes() {
             let reachability: &str = change.reachability.into();
--- a/crates/direct/src/process/news.rs
+++ b/crates/direct/src/process/news.rs
@@ -33,7 +33,7 @@
 
     pub(super) fn order(&mut self, duty: RoleChange) {
         let watching = duty == RoleChange::Begin;
-        info!(self.log, "store duty"; "watching" => watching, "age_ms" => millis(self.fleet.duty().age(self.now())));
+        info!(self.log, "store duty"; "watching" => watching, "age_ms" => millis(self.fleet.watcher_role().age(self.now())));
         let after = if self.steering.directory().is_synced() { self.steering.directory().revision() } else { 0 };
         self.orders.send_replace(if watching { Order::Watch { after } } else { Order::Rest });
     }
@@ -71,7 +71,7 @@
         if std::mem::take(&mut self.store_lost) {
             info!(self.log, "store answers again"; "revision" => delta.revision);
         }
-        self.fleet.duty_mut().answered(now);
+        self.fleet.watcher_role_mut().answered(now);
         self.learn(now, delta, "store");
         self.confirm_news(now);
         if !delta.entries.is_empty() {
@@ -158,8 +158,8 @@
         if let Some(peer) = self.starting.ask(now, &informed, &others, &mut rand::rng()) {
             self.pull(peer);
         }
-        if self.starting.reads_store(now, self.fleet.rank(), self.fleet.duty()) {
-            self.fleet.duty_mut().begin(now);
+        if self.starting.reads_store(now, self.fleet.rank(), self.fleet.watcher_role()) {
+            self.fleet.watcher_role_mut().begin(now);
             self.order(RoleChange::Begin);
         }
     }
