--- a/crates/core/src/direct/fleet/mod.rs
+++ b/crates/core/src/direct/fleet/mod.rs
@@ -107,7 +107,7 @@
     /// When an instance of another failure domain was last heard; `None` before the first.
     heard_elsewhere: Option<Timestamp>,
     /// Instances that know what the store says, as they have said of late, the latest last.
-    informed: VecDeque<SocketAddr>,
+    up_to_date_peers: VecDeque<SocketAddr>,
     /// The latest revision that a peer told of and that is not known here, if there is one.
     behind: Option<Behind>,
     view_sync: ViewSync,
@@ -135,7 +135,7 @@
             contact: false,
             started: now,
             heard_elsewhere: None,
-            informed: VecDeque::new(),
+            up_to_date_peers: VecDeque::new(),
             behind: None,
             view_sync: ViewSync::default(),
             changed: false,
@@ -207,8 +207,8 @@
 
     /// Returns instances that know what the store says.
     #[must_use]
-    pub fn informed(&self) -> Vec<SocketAddr> {
-        self.informed.iter().copied().collect()
+    pub fn up_to_date_peers(&self) -> Vec<SocketAddr> {
+        self.up_to_date_peers.iter().copied().collect()
     }
 
     /// Returns all instances that seem to live.
@@ -218,10 +218,10 @@
     }
 
     fn note_informed(&mut self, address: SocketAddr) {
-        self.informed.retain(|known| *known != address);
-        self.informed.push_back(address);
-        if self.informed.len() > MAX_INFORMED {
-            self.informed.pop_front();
+        self.up_to_date_peers.retain(|known| *known != address);
+        self.up_to_date_peers.push_back(address);
+        if self.up_to_date_peers.len() > MAX_INFORMED {
+            self.up_to_date_peers.pop_front();
         }
     }
 
--- a/crates/direct/src/process/news.rs
+++ b/crates/direct/src/process/news.rs
@@ -154,7 +154,7 @@
 
     /// Gets a whole picture for an instance that has just started, from a peer or from the store.
     pub(super) fn ask_for_everything(&mut self, now: Timestamp) {
-        let (informed, others) = (self.fleet.informed(), self.fleet.reachable());
+        let (informed, others) = (self.fleet.up_to_date_peers(), self.fleet.reachable());
         if let Some(peer) = self.starting.ask(now, &informed, &others, &mut rand::rng()) {
             self.pull(peer);
         }
