--- a/crates/core/src/direct/fleet/mod.rs
+++ b/crates/core/src/direct/fleet/mod.rs
@@ -88,7 +88,7 @@
     /// Fetch everything newer than what is known from an instance.
     Pull(SocketAddr),
     /// Take over news of the store.
-    Learn(Arc<Delta>),
+    ApplyDelta(Arc<Delta>),
     /// Take over a load report.
     Receive(LoadReport),
     /// The instances that serve have changed.
--- a/crates/core/src/direct/fleet/store_news.rs
+++ b/crates/core/src/direct/fleet/store_news.rs
@@ -101,7 +101,7 @@
         let learned = news.delta.as_ref().filter(|delta| delta.since <= revision).map(|delta| delta.revision);
         let reached = learned.map_or(revision, |learned| learned.max(revision));
         let mut effects: Vec<FleetEffect> = self.relay(now, &watcher, news, reached).into_iter().collect();
-        effects.extend(news.delta.clone().map(FleetEffect::Learn));
+        effects.extend(news.delta.clone().map(FleetEffect::ApplyDelta));
         let before = rank_key(watcher.id) > rank_key(self.membership.me().id);
         let duty = self.watcher_role.receive(now, watcher.id, &news.announcement, before);
         effects.extend(duty.map(FleetEffect::RoleChange));
--- a/crates/core/tests/direct/fleet.rs
+++ b/crates/core/tests/direct/fleet.rs
@@ -586,7 +586,7 @@
                         instance.steering.set_fleet(now, serving, group, whole);
                     });
                 }
-                FleetEffect::Learn(delta) => {
+                FleetEffect::ApplyDelta(delta) => {
                     self.with(index, |instance, now, effects| instance.steering.learn(now, &delta, effects));
                 }
                 FleetEffect::Pull(_) | FleetEffect::RoleChange(_) | FleetEffect::Confirmed => {}
--- a/crates/core/tests/direct/members.rs
+++ b/crates/core/tests/direct/members.rs
@@ -306,7 +306,7 @@
         for effect in effects {
             match effect {
                 FleetEffect::Send(to, frame) => self.send(from, &to, &frame),
-                FleetEffect::Learn(delta) => {
+                FleetEffect::ApplyDelta(delta) => {
                     let knows = self.instances[from].as_ref().is_some_and(|known| known.revision >= delta.since);
                     if knows {
                         self.reach(from, delta.revision);
--- a/crates/direct/src/process.rs
+++ b/crates/direct/src/process.rs
@@ -280,7 +280,7 @@
                 FleetEffect::Pull(_) if !self.steering.directory().is_synced() => self.starting.hasten(now),
                 FleetEffect::Pull(from) => self.pull(from),
                 FleetEffect::Confirmed => self.confirm_news(now),
-                FleetEffect::Learn(delta) => self.learn(now, &delta, "peer"),
+                FleetEffect::ApplyDelta(delta) => self.learn(now, &delta, "peer"),
                 FleetEffect::Receive(report) => {
                     self.steering.receive(now, &report, &mut self.effects);
                     self.carry_out();
