--- a/crates/core/src/direct/fleet/mod.rs
+++ b/crates/core/src/direct/fleet/mod.rs
@@ -90,7 +90,7 @@
     /// Take over news of the store.
     ApplyDelta(Arc<Delta>),
     /// Take over a load report.
-    Receive(LoadReport),
+    ApplyLoadReport(LoadReport),
     /// The instances that serve have changed.
     Changed,
 }
@@ -256,7 +256,7 @@
     /// Takes in a datagram.
     pub fn frame(&mut self, now: Timestamp, frame: Frame, revision: Revision) -> Vec<FleetEffect> {
         let (sender, message) = match frame {
-            Frame::LoadReport(report) => return vec![FleetEffect::Receive(report)],
+            Frame::LoadReport(report) => return vec![FleetEffect::ApplyLoadReport(report)],
             Frame::WithSender { sender, message } => (sender, message),
         };
         if sender.id == self.membership.me().id {
--- a/crates/core/tests/direct/fleet.rs
+++ b/crates/core/tests/direct/fleet.rs
@@ -575,7 +575,7 @@
         for effect in effects {
             match effect {
                 FleetEffect::Send(to, frame) => self.send(index, &to, &frame),
-                FleetEffect::Receive(report) => {
+                FleetEffect::ApplyLoadReport(report) => {
                     self.with(index, |instance, now, effects| instance.steering.receive(now, &report, effects));
                 }
                 FleetEffect::Changed => {
--- a/crates/direct/src/process.rs
+++ b/crates/direct/src/process.rs
@@ -281,7 +281,7 @@
                 FleetEffect::Pull(from) => self.pull(from),
                 FleetEffect::Confirmed => self.confirm_news(now),
                 FleetEffect::ApplyDelta(delta) => self.learn(now, &delta, "peer"),
-                FleetEffect::Receive(report) => {
+                FleetEffect::ApplyLoadReport(report) => {
                     self.steering.receive(now, &report, &mut self.effects);
                     self.carry_out();
                 }
