--- a/crates/core/src/direct/fleet/mod.rs
+++ b/crates/core/src/direct/fleet/mod.rs
@@ -84,7 +84,7 @@
     /// Begin or stop watching the store.
     RoleChange(RoleChange),
     /// An announcement has confirmed that nothing newer is known.
-    Confirmed,
+    UpToDate,
     /// Fetch everything newer than what is known from an instance.
     Pull(SocketAddr),
     /// Take over news of the store.
--- a/crates/core/src/direct/fleet/store_news.rs
+++ b/crates/core/src/direct/fleet/store_news.rs
@@ -137,7 +137,7 @@
     ) -> Option<FleetEffect> {
         let announced = news.announcement.revision;
         if announced <= revision {
-            return Some(FleetEffect::Confirmed);
+            return Some(FleetEffect::UpToDate);
         }
         if news.holds >= announced {
             self.note_informed(sender.control);
--- a/crates/core/tests/direct/fleet.rs
+++ b/crates/core/tests/direct/fleet.rs
@@ -589,7 +589,7 @@
                 FleetEffect::ApplyDelta(delta) => {
                     self.with(index, |instance, now, effects| instance.steering.learn(now, &delta, effects));
                 }
-                FleetEffect::Pull(_) | FleetEffect::RoleChange(_) | FleetEffect::Confirmed => {}
+                FleetEffect::Pull(_) | FleetEffect::RoleChange(_) | FleetEffect::UpToDate => {}
             }
         }
     }
--- a/crates/direct/src/process.rs
+++ b/crates/direct/src/process.rs
@@ -279,7 +279,7 @@
                 // One that knows nothing yet asks at its own pace, and not all of them the same instance.
                 FleetEffect::Pull(_) if !self.steering.directory().is_synced() => self.starting.hasten(now),
                 FleetEffect::Pull(from) => self.pull(from),
-                FleetEffect::Confirmed => self.confirm_news(now),
+                FleetEffect::UpToDate => self.confirm_news(now),
                 FleetEffect::ApplyDelta(delta) => self.learn(now, &delta, "peer"),
                 FleetEffect::ApplyLoadReport(report) => {
                     self.steering.receive(now, &report, &mut self.effects);
