--- a/crates/core/src/direct/load_report.rs
+++ b/crates/core/src/direct/load_report.rs
@@ -61,7 +61,7 @@
     pub ended: Vec<AnsweredRequest>,
     /// Flows of whose request nothing is expected here any more. No sign of life of their targets: were they told as
     /// answered, a dead target would seem to live by all the flows that it does not answer.
-    pub given_up: Vec<FlowHash>,
+    pub abandoned: Vec<FlowHash>,
     /// Targets of whose answers one looked like a failure.
     pub failed: Vec<FailedRequest>,
     /// Targets that have been set aside since an answer of theirs is overdue.
@@ -75,13 +75,13 @@
     /// Failure domains that were suspected and have answered just now.
     pub alive_domains: Vec<String>,
     /// Targets that the sender could not reach; some of the others should check them.
-    pub unreached: Vec<Cookie>,
+    pub unreachable: Vec<Cookie>,
     /// The same, in answer to another instance.
     pub confirmed: Vec<Cookie>,
     /// Targets that somebody suspects and that have answered here just now.
     pub alive: Vec<Cookie>,
     /// Targets that answer again after a silence, and how long they count as cold.
-    pub returning: Vec<(Cookie, Duration)>,
+    pub recovered: Vec<(Cookie, Duration)>,
 }
 
 /// Generates what has to be done for each list of a report, so that none can be forgotten.
@@ -108,17 +108,17 @@
 lists! {
     started,
     ended,
-    given_up,
+    abandoned,
     failed,
     overdue,
     answered_overdue,
     avoid,
     avoid_domains,
     alive_domains,
-    unreached,
+    unreachable,
     confirmed,
     alive,
-    returning,
+    recovered,
 }
 
 impl LoadReport {
--- a/crates/core/src/direct/steering/following.rs
+++ b/crates/core/src/direct/steering/following.rs
@@ -171,7 +171,7 @@
         let cold_time = self.directory.cold_time(target);
         if !cold_time.is_zero() && self.has(Mechanism::ReturningCold) {
             self.outliers.return_slowly(now, target, cold_time);
-            self.report.returning.push((cookie(target), cold_time));
+            self.report.recovered.push((cookie(target), cold_time));
         }
     }
 
@@ -244,7 +244,7 @@
 
     pub(super) fn end_work(&mut self, id: FlowId) {
         if self.work.abandon(id.short()) == Some(true) {
-            self.report.given_up.push(id.short());
+            self.report.abandoned.push(id.short());
         }
     }
 
--- a/crates/core/src/direct/steering/reporting.rs
+++ b/crates/core/src/direct/steering/reporting.rs
@@ -23,7 +23,7 @@
         for answered in &report.ended {
             self.receive_answered(now, *answered);
         }
-        for flow in &report.given_up {
+        for flow in &report.abandoned {
             self.flows.answered_elsewhere(*flow);
             self.work.abandon(*flow);
         }
@@ -43,7 +43,7 @@
                 self.failures.answered_overdue(now, target);
             }
         }
-        for (cookie, cold_time) in &report.returning {
+        for (cookie, cold_time) in &report.recovered {
             if let Some(target) = self.known(*cookie) {
                 self.outliers.return_slowly(now, target, *cold_time);
             }
--- a/crates/core/src/direct/steering/resetting.rs
+++ b/crates/core/src/direct/steering/resetting.rs
@@ -39,7 +39,7 @@
             Finding::Failed | Finding::OutOfReach | Finding::StillOutOfReach if asked => {
                 Some(&mut self.report.confirmed)
             }
-            Finding::Failed => Some(&mut self.report.unreached),
+            Finding::Failed => Some(&mut self.report.unreachable),
             Finding::Nothing | Finding::Alive | Finding::OutOfReach | Finding::StillOutOfReach => None,
         };
         if let Some(list) = answer {
@@ -64,7 +64,7 @@
         for target in report.alive.iter().filter_map(|cookie| self.known(*cookie)).collect::<Vec<_>>() {
             self.checks.refuted(now, target);
         }
-        let unreached: Vec<TargetId> = report.unreached.iter().filter_map(|cookie| self.known(*cookie)).collect();
+        let unreached: Vec<TargetId> = report.unreachable.iter().filter_map(|cookie| self.known(*cookie)).collect();
         let confirmed = report.confirmed.iter().filter_map(|cookie| self.known(*cookie));
         for target in unreached.iter().copied().chain(confirmed).collect::<Vec<_>>() {
             if self.checks.confirmed(now, target) {
--- a/crates/core/tests/direct/rules.rs
+++ b/crates/core/tests/direct/rules.rs
@@ -351,7 +351,7 @@
             ..LoadReport::default()
         };
         steering.receive(now, &started, &mut effects);
-        steering.receive(now + ms(50), &LoadReport { given_up: vec![round], ..LoadReport::default() }, &mut effects);
+        steering.receive(now + ms(50), &LoadReport { abandoned: vec![round], ..LoadReport::default() }, &mut effects);
         assert_eq!(steering.work().total(), 0);
     }
     let trust = steering.outliers().trust(ms(1_200), target_id(0), ms(40), || false);
