--- a/crates/core/src/direct/fleet/mod.rs
+++ b/crates/core/src/direct/fleet/mod.rs
@@ -38,7 +38,7 @@
 use crate::membership::Identity;
 use crate::membership::Membership;
 use crate::membership::PeerView;
-use crate::membership::Signal;
+use crate::membership::ProbeMessage;
 use crate::membership::ViewDigest;
 use crate::message::MemberState;
 use crate::message::MemberUpdate;
@@ -390,17 +390,19 @@
         FleetEffect::Send(addresses, Frame::WithSender { sender: self.membership.me().clone(), message })
     }
 
-    fn signal(&mut self, now: Timestamp, signal: Signal, revision: Revision) -> Option<FleetEffect> {
+    fn signal(&mut self, now: Timestamp, signal: ProbeMessage, revision: Revision) -> Option<FleetEffect> {
         match signal {
-            Signal::Ping { to, sequence } => {
+            ProbeMessage::Ping { to, sequence } => {
                 let beat = self.heartbeat(now, to, sequence, revision, PeerView::Unknown);
                 self.to(to, Message::Ping(beat))
             }
-            Signal::IndirectPing { to, sequence, subject } => {
+            ProbeMessage::IndirectPing { to, sequence, subject } => {
                 let subject = self.membership.member(subject)?.clone();
                 self.to(to, Message::IndirectPing { sequence, subject })
             }
-            Signal::IndirectAck { to, sequence, subject } => self.to(to, Message::IndirectAck { sequence, subject }),
+            ProbeMessage::IndirectAck { to, sequence, subject } => {
+                self.to(to, Message::IndirectAck { sequence, subject })
+            }
         }
     }
 
--- a/crates/core/src/membership/failure_detector.rs
+++ b/crates/core/src/membership/failure_detector.rs
@@ -14,7 +14,7 @@
 use super::Member;
 use super::Membership;
 use super::Probe;
-use super::Signal;
+use super::ProbeMessage;
 use crate::Timestamp;
 use crate::message::MemberState;
 use crate::message::Sequence;
@@ -27,7 +27,7 @@
 
 impl Membership {
     /// Does what is due: pings, suspicions, deaths, forgetting.
-    pub fn tick(&mut self, now: Timestamp, rng: &mut SmallRng) -> Vec<Signal> {
+    pub fn tick(&mut self, now: Timestamp, rng: &mut SmallRng) -> Vec<ProbeMessage> {
         let mut signals = self.give_up_probes(now, rng);
         self.bury(now);
         if now >= self.next_ping {
@@ -40,7 +40,7 @@
     }
 
     /// Pings several instances at once, to refresh a view that may be old.
-    pub fn refresh(&mut self, now: Timestamp, rng: &mut SmallRng, count: usize) -> Vec<Signal> {
+    pub fn refresh(&mut self, now: Timestamp, rng: &mut SmallRng, count: usize) -> Vec<ProbeMessage> {
         let candidates = self.members().filter(|update| update.state != MemberState::Dead);
         let subjects = candidates.map(|update| update.id).choose_multiple(rng, count);
         subjects.into_iter().map(|subject| self.ping(now, subject, None)).collect()
@@ -52,11 +52,11 @@
         self.next_sequence
     }
 
-    fn ping(&mut self, now: Timestamp, subject: InstanceId, on_behalf: Option<(InstanceId, Sequence)>) -> Signal {
+    fn ping(&mut self, now: Timestamp, subject: InstanceId, on_behalf: Option<(InstanceId, Sequence)>) -> ProbeMessage {
         let sequence = self.next_sequence;
         self.next_sequence += 1;
         self.probes.insert(sequence, Probe { subject, sent: now, indirect: false, on_behalf });
-        Signal::Ping { to: subject, sequence }
+        ProbeMessage::Ping { to: subject, sequence }
     }
 
     fn next_subjects(&mut self, rng: &mut SmallRng) -> Vec<InstanceId> {
@@ -81,7 +81,7 @@
     }
 
     /// Tries silent pings through others, then suspects their subjects.
-    fn give_up_probes(&mut self, now: Timestamp, rng: &mut SmallRng) -> Vec<Signal> {
+    fn give_up_probes(&mut self, now: Timestamp, rng: &mut SmallRng) -> Vec<ProbeMessage> {
         let mut signals = Vec::new();
         let late = |probe: &Probe, limit: Duration| now.saturating_sub(probe.sent) >= limit;
         let timeout = self.tuning.ping_timeout;
@@ -103,10 +103,10 @@
         signals
     }
 
-    fn ask_others(&self, sequence: Sequence, subject: InstanceId, rng: &mut SmallRng) -> Vec<Signal> {
+    fn ask_others(&self, sequence: Sequence, subject: InstanceId, rng: &mut SmallRng) -> Vec<ProbeMessage> {
         let others = self.reachable().filter(|update| update.id != subject).map(|update| update.id);
         let others = others.choose_multiple(rng, INDIRECT_PINGS);
-        others.into_iter().map(|to| Signal::IndirectPing { to, sequence, subject }).collect()
+        others.into_iter().map(|to| ProbeMessage::IndirectPing { to, sequence, subject }).collect()
     }
 
     fn suspect(&mut self, now: Timestamp, subject: InstanceId) {
@@ -152,12 +152,12 @@
     }
 
     /// Notes the answer to a ping and returns word to the one it was sent for.
-    pub fn acknowledged(&mut self, now: Timestamp, sequence: Sequence, from: InstanceId) -> Option<Signal> {
+    pub fn acknowledged(&mut self, now: Timestamp, sequence: Sequence, from: InstanceId) -> Option<ProbeMessage> {
         let probe = self.probes.get(&sequence).filter(|probe| probe.subject == from)?;
         let on_behalf = probe.on_behalf;
         self.probes.remove(&sequence);
         self.settle(now, from);
-        on_behalf.map(|(to, sequence)| Signal::IndirectAck { to, sequence, subject: from })
+        on_behalf.map(|(to, sequence)| ProbeMessage::IndirectAck { to, sequence, subject: from })
     }
 
     /// Notes word from a third instance that one has answered.
@@ -184,7 +184,7 @@
         subject: InstanceId,
         asker: InstanceId,
         sequence: Sequence,
-    ) -> Option<Signal> {
+    ) -> Option<ProbeMessage> {
         self.members.contains_key(&subject).then(|| self.ping(now, subject, Some((asker, sequence))))
     }
 }
--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -72,7 +72,7 @@
 
 /// What membership wants sent; the node adds what rides on it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Signal {
+pub enum ProbeMessage {
     /// A ping.
     Ping {
         /// To whom.
--- a/crates/core/src/node/messages.rs
+++ b/crates/core/src/node/messages.rs
@@ -9,7 +9,7 @@
 use crate::event::Output;
 use crate::flows::Superseded;
 use crate::membership::PeerView;
-use crate::membership::Signal;
+use crate::membership::ProbeMessage;
 use crate::message::Envelope;
 use crate::message::FlowBatch;
 use crate::message::Heartbeat;
@@ -174,12 +174,16 @@
         }
     }
 
-    pub(super) fn send_signals(&mut self, signals: impl IntoIterator<Item = Signal>, out: &mut Vec<Output>) {
+    pub(super) fn send_signals(&mut self, signals: impl IntoIterator<Item = ProbeMessage>, out: &mut Vec<Output>) {
         for signal in signals {
             let (to, message) = match signal {
-                Signal::Ping { to, sequence } => (to, PeerMessage::Ping(self.heartbeat(sequence, false, to))),
-                Signal::IndirectPing { to, sequence, subject } => (to, PeerMessage::IndirectPing { sequence, subject }),
-                Signal::IndirectAck { to, sequence, subject } => (to, PeerMessage::IndirectAck { sequence, subject }),
+                ProbeMessage::Ping { to, sequence } => (to, PeerMessage::Ping(self.heartbeat(sequence, false, to))),
+                ProbeMessage::IndirectPing { to, sequence, subject } => {
+                    (to, PeerMessage::IndirectPing { sequence, subject })
+                }
+                ProbeMessage::IndirectAck { to, sequence, subject } => {
+                    (to, PeerMessage::IndirectAck { sequence, subject })
+                }
             };
             self.send(to, message, out);
         }
