--- a/crates/core/src/direct/fleet/mod.rs
+++ b/crates/core/src/direct/fleet/mod.rs
@@ -243,7 +243,7 @@
 
     /// Takes over the members that a peer has handed over to this instance when it started.
     pub fn adopt(&mut self, now: Timestamp, members: &[MemberUpdate]) -> Vec<FleetEffect> {
-        self.membership.absorb_all(now, members);
+        self.membership.merge_updates(now, members);
         self.changes(now).into_iter().collect()
     }
 
@@ -299,7 +299,7 @@
                 Vec::new()
             }
             Message::IndirectPing { sequence, subject } => {
-                self.membership.absorb(now, &subject);
+                self.membership.merge_update(now, &subject);
                 let signal = self.membership.ping_for(now, subject.id, from, sequence);
                 signal.into_iter().filter_map(|signal| self.signal(now, signal, revision)).collect()
             }
@@ -313,7 +313,7 @@
 
     /// Takes over what a heartbeat brings, and tells how its sender's view compares to the one here.
     fn absorb(&mut self, now: Timestamp, sender: &MemberUpdate, heartbeat: &Heartbeat, revision: Revision) -> PeerView {
-        self.membership.absorb_all(now, &heartbeat.members);
+        self.membership.merge_updates(now, &heartbeat.members);
         if heartbeat.revision > 0 {
             self.note_informed(sender.control);
             self.watcher_role.hear_of(now, heartbeat.age);
@@ -350,7 +350,7 @@
 
     fn absorb_view(&mut self, now: Timestamp, members: &[MemberUpdate]) {
         let before = self.membership.digest();
-        self.membership.absorb_all(now, members);
+        self.membership.merge_updates(now, members);
         if self.membership.digest() != before {
             self.view_sync.gained();
         }
--- a/crates/core/src/direct/fleet/store_news.rs
+++ b/crates/core/src/direct/fleet/store_news.rs
@@ -97,7 +97,7 @@
         if watcher.id == self.membership.me().id {
             return Vec::new();
         }
-        self.membership.absorb(now, &watcher);
+        self.membership.merge_update(now, &watcher);
         let learned = news.delta.as_ref().filter(|delta| delta.since <= revision).map(|delta| delta.revision);
         let reached = learned.map_or(revision, |learned| learned.max(revision));
         let mut effects: Vec<FleetEffect> = self.relay(now, &watcher, news, reached).into_iter().collect();
--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -268,7 +268,7 @@
     /// Notes that a message came from an instance, which introduces itself on each.
     pub fn heard_from(&mut self, now: Timestamp, sender: &MemberUpdate) {
         self.last_contact = Some(now);
-        self.absorb(now, sender);
+        self.merge_update(now, sender);
         // A direct word ends a suspicion of our own; the subject refutes the rumour itself when it hears of it.
         if let Some(member) = self.members.get_mut(&sender.id) {
             let current = member.update.incarnation == sender.incarnation;
@@ -279,14 +279,14 @@
     }
 
     /// Takes over news of several instances.
-    pub fn absorb_all(&mut self, now: Timestamp, updates: &[MemberUpdate]) {
+    pub fn merge_updates(&mut self, now: Timestamp, updates: &[MemberUpdate]) {
         for update in updates {
-            self.absorb(now, update);
+            self.merge_update(now, update);
         }
     }
 
     /// Takes over news of an instance if it is newer than what is known.
-    pub fn absorb(&mut self, now: Timestamp, update: &MemberUpdate) {
+    pub fn merge_update(&mut self, now: Timestamp, update: &MemberUpdate) {
         if update.id == self.me.id {
             self.hear_of_myself(update);
             return;
--- a/crates/core/src/node/messages.rs
+++ b/crates/core/src/node/messages.rs
@@ -90,7 +90,7 @@
         heartbeat: Heartbeat,
         out: &mut Vec<Output>,
     ) {
-        self.membership.absorb_all(now, &heartbeat.members);
+        self.membership.merge_updates(now, &heartbeat.members);
         for news in heartbeat.targets {
             if self.health.note(now, news) {
                 out.push(Output::Notice(Notice::TargetChanged { target: news.target, status: news.status }));
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -166,7 +166,7 @@
             Input::Stop => self.stop(now),
             Input::PeerMessage(envelope) => self.peer_message(now, *envelope, out),
             Input::PeerIntroduced(update) => {
-                self.membership.absorb(now, &update);
+                self.membership.merge_update(now, &update);
             }
             Input::PeerUnreachable { to } => self.membership.unreachable(now, to),
             Input::SetRead(set) => self.set_read(now, set, out),
--- a/crates/core/tests/direct/convergence.rs
+++ b/crates/core/tests/direct/convergence.rs
@@ -187,8 +187,8 @@
     for _ in 0..64 {
         let for_right = left.missing(&mut rng, &right.digest(), 1);
         let for_left = right.missing(&mut rng, &left.digest(), 1);
-        for_right.iter().flatten().for_each(|update| right.absorb(Timestamp::ZERO, update));
-        for_left.iter().flatten().for_each(|update| left.absorb(Timestamp::ZERO, update));
+        for_right.iter().flatten().for_each(|update| right.merge_update(Timestamp::ZERO, update));
+        for_left.iter().flatten().for_each(|update| left.merge_update(Timestamp::ZERO, update));
     }
 }
 
@@ -202,17 +202,17 @@
         let (mut left, mut right) = (member(1), member(2));
         for (update, heard, _) in &updates {
             if *heard {
-                left.absorb(Timestamp::ZERO, update);
+                left.merge_update(Timestamp::ZERO, update);
             }
         }
         for (update, _, heard) in updates.iter().rev().chain(&updates) {
             if *heard {
-                right.absorb(Timestamp::ZERO, update);
+                right.merge_update(Timestamp::ZERO, update);
             }
         }
         let (left_me, right_me) = (left.me().clone(), right.me().clone());
-        left.absorb(Timestamp::ZERO, &right_me);
-        right.absorb(Timestamp::ZERO, &left_me);
+        left.merge_update(Timestamp::ZERO, &right_me);
+        right.merge_update(Timestamp::ZERO, &left_me);
         settle(&mut left, &mut right);
         assert_eq!(left.digest(), right.digest());
     }
