--- a/crates/core/src/direct/fleet/mod.rs
+++ b/crates/core/src/direct/fleet/mod.rs
@@ -376,7 +376,7 @@
         revision: Revision,
         view: PeerView,
     ) -> Heartbeat {
-        let members = self.membership.news(to, view);
+        let members = self.membership.piggyback_updates(to, view);
         let (serving, view) = (self.count(), self.membership.digest().whole());
         Heartbeat { sequence, serving, view, revision, age: self.watcher_role.age(now), members }
     }
--- a/crates/core/src/membership/dissemination.rs
+++ b/crates/core/src/membership/dissemination.rs
@@ -47,7 +47,7 @@
     ///
     /// A peer with the same view needs nothing. That it has everything counts as one send of each piece, so that the news of
     /// a whole fleet's start does not go on for long after everybody has it.
-    pub fn news(&mut self, to: InstanceId, view: PeerView) -> Vec<MemberUpdate> {
+    pub fn piggyback_updates(&mut self, to: InstanceId, view: PeerView) -> Vec<MemberUpdate> {
         let believed = self.member(to).filter(|update| update.state > MemberState::Alive);
         let mut news: Vec<MemberUpdate> = believed.cloned().into_iter().collect();
         if view == PeerView::Same {
@@ -77,7 +77,7 @@
     }
 
     /// Adds some members at random to the news for a peer whose view differs, which may lack any of them.
-    pub fn add_catch_up(&self, rng: &mut SmallRng, news: &mut Vec<MemberUpdate>) {
+    pub fn add_random_updates(&self, rng: &mut SmallRng, news: &mut Vec<MemberUpdate>) {
         let known = self.members.values().filter(|member| member.update.state != MemberState::Listed);
         let more = known.map(|member| &member.update).filter(|update| !news.contains(update));
         let more = more.choose_multiple(rng, MAX_CATCH_UP.saturating_sub(news.len()));
--- a/crates/core/src/node/messages.rs
+++ b/crates/core/src/node/messages.rs
@@ -108,9 +108,10 @@
             .membership
             .member(to)
             .is_some_and(|update| update.failure_domain == self.membership.me().failure_domain);
-        let mut members = self.membership.news(to, if differs { PeerView::Differs } else { PeerView::Unknown });
+        let mut members =
+            self.membership.piggyback_updates(to, if differs { PeerView::Differs } else { PeerView::Unknown });
         if differs {
-            self.membership.add_catch_up(&mut self.rng, &mut members);
+            self.membership.add_random_updates(&mut self.rng, &mut members);
         }
         Heartbeat {
             sequence,
