--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -212,7 +212,7 @@
 
     /// Tells whether word from a peer is fresh enough to trust the view, or no peer is believed to live.
     #[must_use]
-    pub fn in_touch(&self, now: Timestamp) -> bool {
+    pub fn has_recent_contact(&self, now: Timestamp) -> bool {
         let alone = !self.members().any(|update| matches!(update.state, MemberState::Alive | MemberState::Suspect));
         alone || self.last_contact.is_some_and(|at| now.saturating_sub(at) < self.tuning.lease)
     }
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -219,7 +219,7 @@
     fn trust(&self, now: Timestamp) -> Trust {
         if self.fence.is_some() {
             Trust::None
-        } else if self.membership.in_touch(now) {
+        } else if self.membership.has_recent_contact(now) {
             Trust::Fresh
         } else {
             Trust::Stale
