--- a/crates/core/src/direct/fleet/mod.rs
+++ b/crates/core/src/direct/fleet/mod.rs
@@ -266,7 +266,7 @@
         if sender.failure_domain != self.membership.me().failure_domain {
             self.heard_elsewhere = Some(now);
         }
-        self.membership.heard_from(now, &sender);
+        self.membership.message_received(now, &sender);
         let mut effects = self.message(now, &sender, message, revision);
         effects.extend(self.changes(now));
         effects
--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -266,7 +266,7 @@
     }
 
     /// Notes that a message came from an instance, which introduces itself on each.
-    pub fn heard_from(&mut self, now: Timestamp, sender: &MemberUpdate) {
+    pub fn message_received(&mut self, now: Timestamp, sender: &MemberUpdate) {
         self.last_contact = Some(now);
         self.merge_update(now, sender);
         // A direct word ends a suspicion of our own; the subject refutes the rumour itself when it hears of it.
--- a/crates/core/src/node/messages.rs
+++ b/crates/core/src/node/messages.rs
@@ -25,7 +25,7 @@
             return;
         }
         let from = envelope.sender.id;
-        self.membership.heard_from(now, &envelope.sender);
+        self.membership.message_received(now, &envelope.sender);
         match envelope.message {
             PeerMessage::Ping(heartbeat) => {
                 let sequence = heartbeat.sequence;
