--- a/crates/core/src/direct/fleet/mod.rs
+++ b/crates/core/src/direct/fleet/mod.rs
@@ -126,7 +126,7 @@
         let tuning = tuning.suspicion(SUSPICION).lease(LEASE);
         let rng = SmallRng::seed_from_u64(u64::from(identity.id) ^ identity.incarnation);
         let mut membership = Membership::new(identity, tuning);
-        membership.read_list(now, &list(seeds));
+        membership.apply_instance_list(now, &list(seeds));
         Self {
             membership,
             watcher_role: WatcherRole::new(now),
--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -233,7 +233,7 @@
     ///
     /// The list lags, so it adds candidates to ping and marks who may be forgotten; it makes nobody alive and nobody
     /// dead. An entry marked as leaving is believed, since the platform says so before the instance itself does.
-    pub fn read_list(&mut self, now: Timestamp, list: &InstanceList) {
+    pub fn apply_instance_list(&mut self, now: Timestamp, list: &InstanceList) {
         if list.version < self.list_version {
             return;
         }
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -314,7 +314,7 @@
 
     fn instances_read(&mut self, now: Timestamp, list: &InstanceList) {
         self.platform_answered(now, Resource::Instances);
-        self.membership.read_list(now, list);
+        self.membership.apply_instance_list(now, list);
     }
 
     fn offer(&mut self, now: Timestamp, set: Arc<CheckedSet>, out: &mut Vec<Output>) {
