--- a/crates/core/src/direct/fleet/mod.rs
+++ b/crates/core/src/direct/fleet/mod.rs
@@ -412,7 +412,7 @@
             self.membership.outlive();
         }
         // Nothing here is void because others counted this instance as dead for a while.
-        let _ = self.membership.take_buried();
+        let _ = self.membership.take_declared_dead();
         if !self.changed || now < self.next_change {
             return None;
         }
--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -193,7 +193,7 @@
     }
 
     /// Tells, once, whether others counted this instance as dead since the last call.
-    pub fn take_buried(&mut self) -> bool {
+    pub fn take_declared_dead(&mut self) -> bool {
         std::mem::take(&mut self.buried)
     }
 
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -344,7 +344,7 @@
             self.phase = Phase::Superseded;
             out.push(Output::Superseded);
         }
-        if self.membership.take_buried() {
+        if self.membership.take_declared_dead() {
             self.flows.tell_again();
         }
         let changes = self.membership.take_changes();
