--- a/crates/core/src/flows/mod.rs
+++ b/crates/core/src/flows/mod.rs
@@ -39,8 +39,8 @@
 use crate::event::Channel;
 use crate::event::DropReason;
 use crate::event::PacketFate;
-use crate::health::HealthBook;
 use crate::health::TargetStatus;
+use crate::health::TargetStatusCache;
 use crate::invariants::Invariant;
 use crate::invariants::Ledger;
 use crate::membership::Membership;
@@ -70,7 +70,7 @@
     /// The other instances.
     pub members: &'a Membership,
     /// News of targets.
-    pub health: &'a HealthBook,
+    pub health: &'a TargetStatusCache,
     /// When the set in force was adopted.
     pub adopted_at: Timestamp,
     /// Whether this instance decides nothing until its view is confirmed.
@@ -406,7 +406,7 @@
     }
 
     /// Tells whether a target can take one more flow from this instance.
-    fn takes_flow(&mut self, now: Timestamp, target: &TargetEntry, seats: u32, health: &HealthBook) -> bool {
+    fn takes_flow(&mut self, now: Timestamp, target: &TargetEntry, seats: u32, health: &TargetStatusCache) -> bool {
         let share = (target.connections / seats).max(1);
         let ramp = self.ramps.entry(target.id).or_insert_with(|| Ramp::warm(share));
         ramp.resize(share);
--- a/crates/core/src/health.rs
+++ b/crates/core/src/health.rs
@@ -42,11 +42,11 @@
 
 /// News of targets, each with the time it came.
 #[derive(Clone, Debug, Default)]
-pub struct HealthBook {
+pub struct TargetStatusCache {
     news: Map<TargetId, (TargetStatus, Timestamp)>,
 }
 
-impl HealthBook {
+impl TargetStatusCache {
     /// Notes news; returns whether it changes what was believed.
     pub fn note(&mut self, now: Timestamp, news: TargetNews) -> bool {
         let before = self.news.insert(news.target, (news.status, now));
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -31,7 +31,7 @@
 use crate::event::StreamId;
 use crate::flows::Flows;
 use crate::flows::Surroundings;
-use crate::health::HealthBook;
+use crate::health::TargetStatusCache;
 use crate::invariants::Ledger;
 use crate::keeper::Keeper;
 use crate::membership::Identity;
@@ -69,7 +69,7 @@
     configuration: Configuration,
     platform: PlatformReader,
     view: View,
-    health: HealthBook,
+    health: TargetStatusCache,
     flows: Flows,
     streams: Streams,
     keeper: Keeper,
@@ -97,7 +97,7 @@
             configuration: Configuration::default(),
             platform: PlatformReader::new(now, tuning.platform_fallback),
             view: View::default(),
-            health: HealthBook::default(),
+            health: TargetStatusCache::default(),
             flows: Flows::new(me, &tuning),
             streams: Streams::default(),
             keeper: Keeper::new(me, tuning.clone()),
@@ -389,7 +389,7 @@
 fn surroundings<'a>(
     view: &'a View,
     members: &'a Membership,
-    health: &'a HealthBook,
+    health: &'a TargetStatusCache,
     configuration: &Configuration,
     fence: Option<&Fence>,
 ) -> Surroundings<'a> {
--- a/crates/core/src/streams.rs
+++ b/crates/core/src/streams.rs
@@ -10,8 +10,8 @@
 use crate::catalog::Catalog;
 use crate::catalog::TargetEntry;
 use crate::event::StreamId;
-use crate::health::HealthBook;
 use crate::health::TargetStatus;
+use crate::health::TargetStatusCache;
 use crate::maps::Map;
 use crate::rendezvous;
 use crate::view::View;
@@ -56,13 +56,19 @@
         id: StreamId,
         key: FlowKey,
         view: &View,
-        health: &HealthBook,
+        health: &TargetStatusCache,
     ) -> Option<SocketAddr> {
         self.place(now, id, key, Vec::new(), view, health)
     }
 
     /// Chooses another target after the one chosen refused the connection, of which nothing was sent yet.
-    pub fn refused(&mut self, now: Timestamp, id: StreamId, view: &View, health: &HealthBook) -> Option<SocketAddr> {
+    pub fn refused(
+        &mut self,
+        now: Timestamp,
+        id: StreamId,
+        view: &View,
+        health: &TargetStatusCache,
+    ) -> Option<SocketAddr> {
         let stream = self.close(id)?;
         let mut refused = stream.refused;
         refused.push(stream.target);
@@ -79,7 +85,7 @@
         key: FlowKey,
         refused: Vec<TargetId>,
         view: &View,
-        health: &HealthBook,
+        health: &TargetStatusCache,
     ) -> Option<SocketAddr> {
         let target = self.choose(now, key, &refused, view, health)?;
         let failure_domain = view.catalog().domains()[target.domain].name.clone();
@@ -94,7 +100,7 @@
         key: FlowKey,
         refused: &[TargetId],
         view: &'a View,
-        health: &HealthBook,
+        health: &TargetStatusCache,
     ) -> Option<&'a TargetEntry> {
         let catalog = view.catalog();
         let service = catalog.service(key.service)?;
