--- a/crates/core/src/health.rs
+++ b/crates/core/src/health.rs
@@ -30,7 +30,7 @@
 /// State of a target as its keeper sees it.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct TargetNews {
+pub struct TargetStatusUpdate {
     /// The target.
     pub target: TargetId,
     /// Its state.
@@ -48,7 +48,7 @@
 
 impl TargetStatusCache {
     /// Notes news; returns whether it changes what was believed.
-    pub fn note(&mut self, now: Timestamp, news: TargetNews) -> bool {
+    pub fn note(&mut self, now: Timestamp, news: TargetStatusUpdate) -> bool {
         let before = self.news.insert(news.target, (news.status, now));
         before.map(|(status, _)| status) != Some(news.status)
     }
--- a/crates/core/src/keeper.rs
+++ b/crates/core/src/keeper.rs
@@ -22,8 +22,8 @@
 use crate::catalog::TargetEntry;
 use crate::event::HealthReport;
 use crate::event::RequestId;
-use crate::health::TargetNews;
 use crate::health::TargetStatus;
+use crate::health::TargetStatusUpdate;
 use crate::invariants::Invariant;
 use crate::invariants::Ledger;
 use crate::ramp::Ramp;
@@ -490,13 +490,13 @@
     }
 
     /// Returns the states that have changed since the last call, or of all targets that are not warm.
-    pub fn news(&mut self, only_changed: bool) -> Vec<TargetNews> {
+    pub fn news(&mut self, only_changed: bool) -> Vec<TargetStatusUpdate> {
         let mut news = Vec::new();
         for (id, kept) in &mut self.kept {
             let status = kept.status();
             let changed = kept.announced != Some(status);
             if changed || (!only_changed && status != TargetStatus::Warm) {
-                news.push(TargetNews { target: *id, status });
+                news.push(TargetStatusUpdate { target: *id, status });
             }
             if only_changed {
                 kept.announced = Some(status);
--- a/crates/core/src/message.rs
+++ b/crates/core/src/message.rs
@@ -12,7 +12,7 @@
 use strum::EnumString;
 use strum::IntoStaticStr;
 
-use crate::health::TargetNews;
+use crate::health::TargetStatusUpdate;
 use hawthornshift_model::Incarnation;
 use hawthornshift_model::InstanceId;
 use hawthornshift_model::PublishedSet;
@@ -125,7 +125,7 @@
     pub members: Vec<MemberUpdate>,
     /// News of targets that the sender keeps.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub targets: Vec<TargetNews>,
+    pub targets: Vec<TargetStatusUpdate>,
 }
 
 /// What is known of one instance; of two the one with the higher [`MemberUpdate::rank`] holds.
