--- a/crates/core/src/direct/domain_reach.rs
+++ b/crates/core/src/direct/domain_reach.rs
@@ -14,8 +14,8 @@
 
 use crate::Timestamp;
 use crate::direct::directory::Target;
+use crate::direct::outlier::Availability;
 use crate::direct::outlier::Outliers;
-use crate::direct::outlier::Trust;
 use crate::maps::Map;
 use hawthornshift_model::TargetId;
 
@@ -112,7 +112,8 @@
     ) -> Option<Timestamp> {
         let domain = key(domain);
         let suspected = self.domains.is_suspected(domain);
-        let avoided = suspected && self.domains.trust(now, domain, handshake_timeout, || mine(domain)) != Trust::Full;
+        let avoided = suspected
+            && self.domains.availability(now, domain, handshake_timeout, || mine(domain)) != Availability::Available;
         avoided.then(|| self.suspected_since.get(&domain).copied().unwrap_or(now))
     }
 
--- a/crates/core/src/direct/outlier.rs
+++ b/crates/core/src/direct/outlier.rs
@@ -89,13 +89,13 @@
 
 /// How far a target may be used.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Trust {
+pub enum Availability {
     /// Like any other.
-    Full,
+    Available,
     /// Only when no other has room: a handshake was not finished, which may mean nothing.
     Suspected,
     /// Only by a trial: it has been silent for long.
-    Silent,
+    Unresponsive,
 }
 
 /// Targets that seem not to answer.
@@ -223,21 +223,21 @@
     ///
     /// A handshake takes up to `handshake_timeout`; a trial is decided after two.
     #[must_use]
-    pub fn trust(
+    pub fn availability(
         &self,
         now: Timestamp,
         target: TargetId,
         handshake_timeout: Duration,
         mine: impl FnOnce() -> bool,
-    ) -> Trust {
-        let Some(record) = self.records.get(&target) else { return Trust::Full };
+    ) -> Availability {
+        let Some(record) = self.records.get(&target) else { return Availability::Available };
         let on_trial = record.trial.is_some_and(|at| now.saturating_sub(at) < handshake_timeout * 2);
         if record.is_silent(now) {
             let anybody = now >= record.avoid_until + ANYBODY;
             let may_try = now >= record.avoid_until && !on_trial && (anybody || mine());
-            return if may_try { Trust::Full } else { Trust::Silent };
+            return if may_try { Availability::Available } else { Availability::Unresponsive };
         }
-        if now < record.avoid_until || on_trial { Trust::Suspected } else { Trust::Full }
+        if now < record.avoid_until || on_trial { Availability::Suspected } else { Availability::Available }
     }
 
     /// Tells whether a silent target may be tried though others have just been: where nothing else is left, at a rate
--- a/crates/core/src/direct/placement.rs
+++ b/crates/core/src/direct/placement.rs
@@ -17,8 +17,8 @@
 use crate::direct::failures::Failures;
 use crate::direct::mechanisms::Mechanism;
 use crate::direct::mechanisms::Mechanisms;
+use crate::direct::outlier::Availability;
 use crate::direct::outlier::Outliers;
-use crate::direct::outlier::Trust;
 use crate::direct::work::OpenWork;
 use crate::rendezvous;
 use hawthornshift_model::InstanceId;
@@ -109,29 +109,31 @@
         let mut best_silent: Option<(f64, u64, TargetId)> = None;
         for target in self.directory.candidates(now, service).filter(warm) {
             any = true;
-            any_in_use |= self.outliers.trust(now, target.id, self.handshake_timeout, || false) != Trust::Silent;
+            any_in_use |= self.outliers.availability(now, target.id, self.handshake_timeout, || false)
+                != Availability::Unresponsive;
             let domain = target.spec.failure_domain.as_str();
             let bounded = limit != Limit::Full && full.get(domain, || self.is_at_limit(now, service, domain));
             if tried.contains(&target.id) || !self.has_room(target, limit) || bounded {
                 continue;
             }
             let cost = (self.cost(now, target), rendezvous::score(hash, target.id), target.id);
-            let place = match self.outliers.trust(now, target.id, self.handshake_timeout, || self.is_mine(target.id)) {
-                Trust::Full if self.failures.is_aside(now, target.id, || self.is_mine(target.id)) => {
-                    &mut best_suspected
-                }
-                Trust::Full
-                    if suspicions
-                        .get(domain, || self.suspicion(now, domain, tried))
-                        .is_some_and(|d| d.concerns(target)) =>
-                {
-                    &mut best_suspected
-                }
-                Trust::Full => &mut best,
-                Trust::Suspected => &mut best_suspected,
-                Trust::Silent if self.outliers.may_try_last(now, target.id) => &mut best_silent,
-                Trust::Silent => continue,
-            };
+            let place =
+                match self.outliers.availability(now, target.id, self.handshake_timeout, || self.is_mine(target.id)) {
+                    Availability::Available if self.failures.is_aside(now, target.id, || self.is_mine(target.id)) => {
+                        &mut best_suspected
+                    }
+                    Availability::Available
+                        if suspicions
+                            .get(domain, || self.suspicion(now, domain, tried))
+                            .is_some_and(|d| d.concerns(target)) =>
+                    {
+                        &mut best_suspected
+                    }
+                    Availability::Available => &mut best,
+                    Availability::Suspected => &mut best_suspected,
+                    Availability::Unresponsive if self.outliers.may_try_last(now, target.id) => &mut best_silent,
+                    Availability::Unresponsive => continue,
+                };
             if place.is_none_or(|place| (cost.0, cost.1) < (place.0, place.1)) {
                 *place = Some(cost);
             }
--- a/crates/core/src/direct/readiness.rs
+++ b/crates/core/src/direct/readiness.rs
@@ -13,8 +13,8 @@
 
 use crate::Timestamp;
 use crate::direct::directory::Directory;
+use crate::direct::outlier::Availability;
 use crate::direct::outlier::Outliers;
-use crate::direct::outlier::Trust;
 
 /// Silence of all instances of other failure domains after which those domains count as out of reach.
 ///
@@ -73,7 +73,9 @@
                 if self.outliers.answered_within(now, target.id, OUT_OF_REACH) {
                     return Readiness::Ready;
                 }
-            } else if self.outliers.trust(now, target.id, self.handshake_timeout, || true) != Trust::Silent {
+            } else if self.outliers.availability(now, target.id, self.handshake_timeout, || true)
+                != Availability::Unresponsive
+            {
                 return Readiness::Ready;
             }
         }
--- a/crates/core/tests/direct/rules.rs
+++ b/crates/core/tests/direct/rules.rs
@@ -22,7 +22,7 @@
 use hawthornshift_core::direct::load_report::LoadReport;
 use hawthornshift_core::direct::load_report::OpenRequest;
 use hawthornshift_core::direct::mechanisms::Mechanisms;
-use hawthornshift_core::direct::outlier::Trust;
+use hawthornshift_core::direct::outlier::Availability;
 use hawthornshift_core::direct::pause::PauseDetector;
 use hawthornshift_core::direct::segment::Cookie;
 use hawthornshift_core::direct::segment::FlowId;
@@ -354,8 +354,8 @@
         steering.receive(now + ms(50), &LoadReport { abandoned: vec![round], ..LoadReport::default() }, &mut effects);
         assert_eq!(steering.work().total(), 0);
     }
-    let trust = steering.outliers().trust(ms(1_200), target_id(0), ms(40), || false);
-    assert_eq!(trust, Trust::Silent);
+    let trust = steering.outliers().availability(ms(1_200), target_id(0), ms(40), || false);
+    assert_eq!(trust, Availability::Unresponsive);
 }
 
 /// The only target of a service dies and gets flows that it never answers, for nobody knows yet. It is restarted cold, and
