--- a/crates/core/src/direct/outlier.rs
+++ b/crates/core/src/direct/outlier.rs
@@ -135,7 +135,7 @@
     }
 
     /// Counts a target as cold for a while.
-    pub fn return_slowly(&mut self, now: Timestamp, target: TargetId, cold_time: Duration) {
+    pub fn mark_cold(&mut self, now: Timestamp, target: TargetId, cold_time: Duration) {
         let record = self.records.entry(target).or_default();
         record.clear(now);
         record.returning_until = record.returning_until.max(now + cold_time);
--- a/crates/core/src/direct/steering/following.rs
+++ b/crates/core/src/direct/steering/following.rs
@@ -170,7 +170,7 @@
     fn recovered(&mut self, now: Timestamp, target: TargetId) {
         let cold_time = self.directory.cold_time(target);
         if !cold_time.is_zero() && self.has(Mechanism::ReturningCold) {
-            self.outliers.return_slowly(now, target, cold_time);
+            self.outliers.mark_cold(now, target, cold_time);
             self.report.recovered.push((cookie(target), cold_time));
         }
     }
--- a/crates/core/src/direct/steering/reporting.rs
+++ b/crates/core/src/direct/steering/reporting.rs
@@ -45,7 +45,7 @@
         }
         for (cookie, cold_time) in &report.recovered {
             if let Some(target) = self.known(*cookie) {
-                self.outliers.return_slowly(now, target, *cold_time);
+                self.outliers.mark_cold(now, target, *cold_time);
             }
         }
         for cookie in &report.alive {
