--- a/crates/core/src/direct/outlier.rs
+++ b/crates/core/src/direct/outlier.rs
@@ -123,7 +123,7 @@
     }
 
     /// Notes a sign of life of a target that a peer tells of.
-    pub fn sign_of_life(&mut self, now: Timestamp, target: TargetId) {
+    pub fn record_liveness(&mut self, now: Timestamp, target: TargetId) {
         self.records.entry(target).or_default().last_sign = now;
     }
 
--- a/crates/core/src/direct/steering/reporting.rs
+++ b/crates/core/src/direct/steering/reporting.rs
@@ -50,7 +50,7 @@
         }
         for cookie in &report.alive {
             if let Some(target) = self.known(*cookie) {
-                self.outliers.sign_of_life(now, target);
+                self.outliers.record_liveness(now, target);
             }
         }
         for (cookie, avoidance) in &report.avoid {
@@ -87,7 +87,7 @@
     fn receive_answered(&mut self, now: Timestamp, answered: AnsweredRequest) {
         self.flows.answered_elsewhere(answered.flow);
         if let Some(ended) = self.work.receive_end(now, answered.flow, answered.unreported) {
-            self.outliers.sign_of_life(now, ended.target);
+            self.outliers.record_liveness(now, ended.target);
             self.count_answers(ended.target, answered.unreported.saturating_add(1));
         }
     }
