--- a/crates/core/src/direct/reachability.rs
+++ b/crates/core/src/direct/reachability.rs
@@ -132,14 +132,14 @@
 
 /// Targets that have been sent something.
 #[derive(Clone, Debug, Default)]
-pub struct Checks {
+pub struct ReachabilityChecks {
     records: Map<TargetId, Record>,
     /// When the latest check began that was accepted.
     accepted: Option<Timestamp>,
     changes: Vec<ReachChange>,
 }
 
-impl Checks {
+impl ReachabilityChecks {
     /// Notes that a target was sent something that it has to answer.
     pub fn sent(&mut self, now: Timestamp, target: TargetId) {
         self.records.entry(target).or_default().owes_since.get_or_insert(now);
--- a/crates/core/src/direct/steering/mod.rs
+++ b/crates/core/src/direct/steering/mod.rs
@@ -35,8 +35,8 @@
 use crate::direct::pending::PendingQueue;
 use crate::direct::placement::Limit;
 use crate::direct::placement::SlowStart;
-use crate::direct::reachability::Checks;
 use crate::direct::reachability::ReachChange;
+use crate::direct::reachability::ReachabilityChecks;
 use crate::direct::readiness::Reach;
 use crate::direct::readiness::Readiness;
 use crate::direct::readiness::Refusal;
@@ -128,7 +128,7 @@
     work: OpenWork,
     outliers: Outliers,
     domains: DomainReach,
-    checks: Checks,
+    checks: ReachabilityChecks,
     failures: Failures,
     answer_times: AnswerTimes,
     refusal: Refusal,
@@ -189,7 +189,7 @@
             work: OpenWork::default(),
             outliers: Outliers::default(),
             domains: DomainReach::default(),
-            checks: Checks::default(),
+            checks: ReachabilityChecks::default(),
             failures: Failures::default(),
             answer_times: AnswerTimes::default(),
             refusal: Refusal::default(),
--- a/crates/core/tests/direct/reachability.rs
+++ b/crates/core/tests/direct/reachability.rs
@@ -5,9 +5,9 @@
 use crate::fleet::ms;
 use hawthornshift_core::direct::reachability::CHECK_LIMIT;
 use hawthornshift_core::direct::reachability::CheckOutcome;
-use hawthornshift_core::direct::reachability::Checks;
 use hawthornshift_core::direct::reachability::Finding;
 use hawthornshift_core::direct::reachability::Reachability;
+use hawthornshift_core::direct::reachability::ReachabilityChecks;
 use hawthornshift_model::TargetId;
 
 /// The target that may have died.
@@ -25,8 +25,8 @@
 }
 
 /// A target owes an answer, another one has just answered; both are being checked.
-fn under_check() -> Checks {
-    let mut checks = Checks::default();
+fn under_check() -> ReachabilityChecks {
+    let mut checks = ReachabilityChecks::default();
     checks.sent(ASKED_SILENT, SILENT);
     checks.sent(ASKED_LIVELY, LIVELY);
     checks.answered(ANSWERED, LIVELY);
@@ -34,7 +34,7 @@
     checks
 }
 
-fn fail(checks: &mut Checks, began: Duration, alone: bool) -> Finding {
+fn fail(checks: &mut ReachabilityChecks, began: Duration, alone: bool) -> Finding {
     checks.checked(began + CHECK_LIMIT, SILENT, CheckOutcome::TimedOut, alone)
 }
 
