--- a/crates/core/src/direct/reachability.rs
+++ b/crates/core/src/direct/reachability.rs
@@ -87,7 +87,7 @@
 
 /// A target that has turned out to be out of reach, or to be reached again.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct ReachChange {
+pub struct ReachabilityChange {
     /// The target.
     pub target: TargetId,
     /// What it is now.
@@ -136,7 +136,7 @@
     records: Map<TargetId, Record>,
     /// When the latest check began that was accepted.
     accepted: Option<Timestamp>,
-    changes: Vec<ReachChange>,
+    changes: Vec<ReachabilityChange>,
 }
 
 impl ReachabilityChecks {
@@ -150,7 +150,7 @@
         if let Some(record) = self.records.get_mut(&target) {
             let Record { check_since, next_check, failed, out_of_reach, .. } = *record;
             if out_of_reach {
-                self.changes.push(ReachChange { target, reachability: Reachability::Reachable, failed });
+                self.changes.push(ReachabilityChange { target, reachability: Reachability::Reachable, failed });
             }
             *record = Record { last_sign: now, check_since, next_check, ..Record::default() };
         }
@@ -161,7 +161,7 @@
         if let Some(record) = self.records.get_mut(&target).filter(|record| !record.gone) {
             if record.out_of_reach {
                 let failed = record.failed;
-                self.changes.push(ReachChange { target, reachability: Reachability::Reachable, failed });
+                self.changes.push(ReachabilityChange { target, reachability: Reachability::Reachable, failed });
             }
             record.failed = 0;
             record.confirmed = None;
@@ -176,13 +176,13 @@
         record.confirmed = Some(now);
         let (new, failed) = (record.conclude(now, false), record.failed);
         if new {
-            self.changes.push(ReachChange { target, reachability: Reachability::OutOfReach, failed });
+            self.changes.push(ReachabilityChange { target, reachability: Reachability::OutOfReach, failed });
         }
         new
     }
 
     /// Takes what has changed since the last call, for the log.
-    pub fn take_changes(&mut self) -> Vec<ReachChange> {
+    pub fn take_changes(&mut self) -> Vec<ReachabilityChange> {
         std::mem::take(&mut self.changes)
     }
 
@@ -276,7 +276,7 @@
         record.failed_at = now;
         if record.conclude(now, alone) {
             let failed = record.failed;
-            self.changes.push(ReachChange { target, reachability: Reachability::OutOfReach, failed });
+            self.changes.push(ReachabilityChange { target, reachability: Reachability::OutOfReach, failed });
             return Finding::OutOfReach;
         }
         // The second check follows at once; after that others have answered, or cannot be reached either.
@@ -293,7 +293,7 @@
         record.gone = true;
         record.out_of_reach = true;
         if new {
-            self.changes.push(ReachChange { target, reachability: Reachability::Gone, failed: record.failed });
+            self.changes.push(ReachabilityChange { target, reachability: Reachability::Gone, failed: record.failed });
         }
         new
     }
--- a/crates/core/src/direct/steering/mod.rs
+++ b/crates/core/src/direct/steering/mod.rs
@@ -35,7 +35,7 @@
 use crate::direct::pending::PendingQueue;
 use crate::direct::placement::Limit;
 use crate::direct::placement::SlowStart;
-use crate::direct::reachability::ReachChange;
+use crate::direct::reachability::ReachabilityChange;
 use crate::direct::reachability::ReachabilityChecks;
 use crate::direct::readiness::Reach;
 use crate::direct::readiness::Readiness;
@@ -283,7 +283,7 @@
     }
 
     /// Takes the targets that have turned out to be out of reach, or to be reached again, since the last call.
-    pub fn take_reach_changes(&mut self) -> Vec<ReachChange> {
+    pub fn take_reach_changes(&mut self) -> Vec<ReachabilityChange> {
         self.checks.take_changes()
     }
 
