--- a/crates/core/src/direct/reachability.rs
+++ b/crates/core/src/direct/reachability.rs
@@ -64,7 +64,7 @@
     /// The target lives.
     Alive,
     /// Nothing: this instance may be to blame.
-    Nothing,
+    Inconclusive,
     /// The target was not reached; others have to find the same.
     Failed,
     /// The target has turned out to be out of reach just now.
@@ -256,8 +256,8 @@
 
     /// Takes in the outcome of a check, by an instance that knows others or is alone.
     pub fn checked(&mut self, now: Timestamp, target: TargetId, outcome: CheckOutcome, alone: bool) -> Finding {
-        let Some(record) = self.records.get_mut(&target) else { return Finding::Nothing };
-        let Some(began) = record.check_since.take() else { return Finding::Nothing };
+        let Some(record) = self.records.get_mut(&target) else { return Finding::Inconclusive };
+        let Some(began) = record.check_since.take() else { return Finding::Inconclusive };
         record.asked = false;
         if outcome == CheckOutcome::Accepted {
             record.next_check = now + RECHECK_ALIVE;
@@ -270,7 +270,7 @@
         let reference_failed = self.accepted.is_none_or(|at| at < began);
         if paused || reference_failed || record.last_sign >= began {
             record.next_check = now + RECHECK_FIRST;
-            return Finding::Nothing;
+            return Finding::Inconclusive;
         }
         record.failed += 1;
         record.failed_at = now;
--- a/crates/core/src/direct/steering/resetting.rs
+++ b/crates/core/src/direct/steering/resetting.rs
@@ -40,7 +40,7 @@
                 Some(&mut self.report.confirmed)
             }
             Finding::Failed => Some(&mut self.report.unreachable),
-            Finding::Nothing | Finding::Alive | Finding::OutOfReach | Finding::StillOutOfReach => None,
+            Finding::Inconclusive | Finding::Alive | Finding::OutOfReach | Finding::StillOutOfReach => None,
         };
         if let Some(list) = answer {
             list.push(cookie(target));
@@ -49,7 +49,7 @@
             Finding::OutOfReach => self.lose_reach(now, target, effects),
             // Others need a moment to find the same, and this instance checks again meanwhile.
             Finding::Failed => self.check_targets(now, effects),
-            Finding::Alive | Finding::Nothing | Finding::StillOutOfReach => {}
+            Finding::Alive | Finding::Inconclusive | Finding::StillOutOfReach => {}
         }
     }
 
--- a/crates/core/tests/direct/reachability.rs
+++ b/crates/core/tests/direct/reachability.rs
@@ -44,7 +44,7 @@
 fn a_failure_counts_only_beside_a_success() {
     let mut checks = under_check();
     checks.checked(NOW + CHECK_LIMIT, LIVELY, CheckOutcome::TimedOut, true);
-    assert_eq!(fail(&mut checks, NOW, true), Finding::Nothing);
+    assert_eq!(fail(&mut checks, NOW, true), Finding::Inconclusive);
     assert_eq!(checks.reachability(SILENT), Reachability::Reachable);
 }
 
@@ -82,7 +82,7 @@
     let mut checks = under_check();
     checks.checked(NOW + ms(2), LIVELY, CheckOutcome::Accepted, true);
     let late = NOW + ms(500);
-    assert_eq!(checks.checked(late, SILENT, CheckOutcome::TimedOut, true), Finding::Nothing);
+    assert_eq!(checks.checked(late, SILENT, CheckOutcome::TimedOut, true), Finding::Inconclusive);
 }
 
 /// An instance failed to reach a target ten seconds ago, in a cut that is over, and has sent it nothing since. Another one
