--- a/crates/core/src/direct/reachability.rs
+++ b/crates/core/src/direct/reachability.rs
@@ -207,7 +207,7 @@
     }
 
     /// Gives every target its time anew, after this process was paused: their answers may not have been read.
-    pub fn start_over(&mut self, now: Timestamp) {
+    pub fn restart_deadlines(&mut self, now: Timestamp) {
         for record in self.records.values_mut().filter(|record| record.owes_since.is_some()) {
             record.owes_since = Some(now);
         }
--- a/crates/core/src/direct/steering/timers.rs
+++ b/crates/core/src/direct/steering/timers.rs
@@ -45,7 +45,7 @@
             let late = now.saturating_sub(self.next_refresh);
             self.next_refresh = now + REVIEW;
             if late >= FREEZE {
-                self.checks.start_over(now);
+                self.checks.restart_deadlines(now);
                 self.unseen_until = Some(now + UNSEEN);
             }
             self.refresh(now);
