--- a/crates/core/src/direct/failures.rs
+++ b/crates/core/src/direct/failures.rs
@@ -117,14 +117,14 @@
     /// Tells whether a target should get flows only behind the others; `mine` tells whether it is this instance's task to
     /// try it again.
     #[must_use]
-    pub fn is_aside(&self, now: Timestamp, target: TargetId, mine: impl FnOnce() -> bool) -> bool {
+    pub fn is_ejected(&self, now: Timestamp, target: TargetId, mine: impl FnOnce() -> bool) -> bool {
         let Some(record) = self.records.get(&target).filter(|record| record.times_aside > 0) else { return false };
         now < record.aside_until || (now < record.aside_until + ONE_TRIES && !mine())
     }
 
     /// Returns how many targets are set aside.
     #[must_use]
-    pub fn count_aside(&self, now: Timestamp) -> usize {
+    pub fn ejected_count(&self, now: Timestamp) -> usize {
         self.records.values().filter(|record| now < record.aside_until).count()
     }
 
--- a/crates/core/src/direct/placement.rs
+++ b/crates/core/src/direct/placement.rs
@@ -119,7 +119,7 @@
             let cost = (self.cost(now, target), rendezvous::score(hash, target.id), target.id);
             let place =
                 match self.outliers.availability(now, target.id, self.handshake_timeout, || self.is_mine(target.id)) {
-                    Availability::Available if self.failures.is_aside(now, target.id, || self.is_mine(target.id)) => {
+                    Availability::Available if self.failures.is_ejected(now, target.id, || self.is_mine(target.id)) => {
                         &mut best_suspected
                     }
                     Availability::Available
--- a/crates/core/src/direct/steering/mod.rs
+++ b/crates/core/src/direct/steering/mod.rs
@@ -250,7 +250,7 @@
     /// Returns how many targets are set aside since their answers look like failures.
     #[must_use]
     pub fn failing(&self, now: Timestamp) -> usize {
-        self.failures.count_aside(now)
+        self.failures.ejected_count(now)
     }
 
     /// Returns how many limits are in force, one for each service and failure domain whose targets are overloaded.
--- a/crates/core/src/direct/steering/timers.rs
+++ b/crates/core/src/direct/steering/timers.rs
@@ -124,7 +124,7 @@
         let Some(target) = target else { return true };
         let all = self.directory.candidates(now, &target.spec.service).count();
         let aside = self.directory.candidates(now, &target.spec.service);
-        let aside = aside.filter(|target| self.failures.is_aside(now, target.id, || true)).count();
+        let aside = aside.filter(|target| self.failures.is_ejected(now, target.id, || true)).count();
         (aside + 1) * MAX_ASIDE > all.max(MAX_ASIDE)
     }
 
