--- a/crates/core/src/direct/answer_times.rs
+++ b/crates/core/src/direct/answer_times.rs
@@ -55,7 +55,7 @@
     /// Tells whether the target is to blame for an overdue answer to a request that it was sent at `sent`, as later ones have
     /// been answered.
     #[must_use]
-    pub fn have_later(&self, route: SocketAddrV4, sent: Timestamp) -> bool {
+    pub fn has_later_answer(&self, route: SocketAddrV4, sent: Timestamp) -> bool {
         self.routes.get(&route).is_some_and(|known| known.latest_answered > sent)
     }
 
--- a/crates/core/src/direct/steering/timers.rs
+++ b/crates/core/src/direct/steering/timers.rs
@@ -91,7 +91,10 @@
     /// Sets the target of a request aside that should have answered it, if that is the target's fault.
     fn judge_unanswered(&mut self, now: Timestamp, id: FlowId) {
         let Some(sent) = self.work.opened_at(id.short()) else { return };
-        if !self.answer_times.have_later(id.service, sent) || self.may_be_queued(id) || self.many_are_aside(now, id) {
+        if !self.answer_times.has_later_answer(id.service, sent)
+            || self.may_be_queued(id)
+            || self.many_are_aside(now, id)
+        {
             return;
         }
         let Some(flow) = self.flows.get_mut(&id).filter(|flow| matches!(flow.stage, Stage::Working { .. })) else {
--- a/crates/core/tests/direct/hanging.rs
+++ b/crates/core/tests/direct/hanging.rs
@@ -121,7 +121,7 @@
     let limit = times.limit(route).unwrap();
     assert!(limit > ms(45) && limit < ms(150), "{limit:?}");
     let sent = ms(900);
-    assert!(!times.have_later(route, sent));
+    assert!(!times.has_later_answer(route, sent));
     times.answered(route, sent + ms(1), ms(30));
-    assert!(times.have_later(route, sent));
+    assert!(times.has_later_answer(route, sent));
 }
