--- a/crates/core/src/direct/admission.rs
+++ b/crates/core/src/direct/admission.rs
@@ -41,7 +41,7 @@
 
 /// How much longer a flow may wait.
 #[derive(Clone, Copy, Debug)]
-pub struct Patience {
+pub struct WaitBudget {
     /// Until it can no longer be in time; zero when it is late.
     pub in_time: Duration,
     /// Until its caller's attempt ends.
@@ -114,7 +114,7 @@
 
 /// Decides about a flow that finds no room, by the rates a second at which slots come free here and new flows come.
 #[must_use]
-pub fn admit(patience: Patience, ahead: Ahead, slots_free: f64, arrivals: f64) -> Admission {
+pub fn admit(patience: WaitBudget, ahead: Ahead, slots_free: f64, arrivals: f64) -> Admission {
     let count = |flows: usize| f64::from(u32::try_from(flows).unwrap_or(u32::MAX)) + 1.0;
     let in_time = count(ahead.in_time) <= patience.in_time.as_secs_f64() * slots_free * OWN_PART;
     let left_over = slots_free - arrivals;
--- a/crates/core/src/direct/steering/opening.rs
+++ b/crates/core/src/direct/steering/opening.rs
@@ -12,7 +12,7 @@
 use crate::direct::adaptive_limit::Usage;
 use crate::direct::admission;
 use crate::direct::admission::Admission;
-use crate::direct::admission::Patience;
+use crate::direct::admission::WaitBudget;
 use crate::direct::decision::Decision;
 use crate::direct::decision::Outcome;
 use crate::direct::directory::cookie;
@@ -102,7 +102,7 @@
         let service = &waiting.service;
         let Some(slots_free) = self.slots_free(now, service) else { return false };
         let (in_time, attempt) = (waiting.in_time_until.saturating_sub(now), waiting.until.saturating_sub(now));
-        let patience = Patience { in_time, attempt };
+        let patience = WaitBudget { in_time, attempt };
         let arrivals = self.rates.arrivals(now, service);
         admission::admit(patience, self.waiting.ahead(service), slots_free, arrivals) == Admission::Reject
     }
--- a/crates/core/tests/direct/overload.rs
+++ b/crates/core/tests/direct/overload.rs
@@ -9,8 +9,8 @@
 use hawthornshift_core::direct::adaptive_limit::Usage;
 use hawthornshift_core::direct::admission::Admission;
 use hawthornshift_core::direct::admission::Ahead;
-use hawthornshift_core::direct::admission::Patience;
 use hawthornshift_core::direct::admission::ServiceRates;
+use hawthornshift_core::direct::admission::WaitBudget;
 use hawthornshift_core::direct::admission::admit;
 use hawthornshift_core::direct::decision::Outcome;
 use hawthornshift_core::direct::mechanisms::Mechanism;
@@ -182,13 +182,13 @@
 /// Guards against each of the ways to decide wrongly about a flow that finds no room.
 #[test]
 fn a_flow_waits_only_if_it_can_be_served() {
-    let patience = Patience { in_time: ms(100), attempt: ms(1_000) };
+    let patience = WaitBudget { in_time: ms(100), attempt: ms(1_000) };
     let none = Ahead { in_time: 0, late: 0 };
     assert_eq!(admit(patience, none, 50.0, 500.0), Admission::Wait, "a slot comes free in time");
     let many = Ahead { in_time: 20, late: 0 };
     assert_eq!(admit(patience, many, 50.0, 500.0), Admission::Reject, "new flows take all that comes free");
     assert_eq!(admit(patience, many, 50.0, 10.0), Admission::Wait, "late, but new flows leave much over");
-    let late = Patience { in_time: Duration::ZERO, ..patience };
+    let late = WaitBudget { in_time: Duration::ZERO, ..patience };
     assert_eq!(admit(late, none, 50.0, 49.5), Admission::Reject, "too little is left over");
     assert_eq!(admit(late, none, 50.0, 0.0), Admission::Wait);
 }
