--- a/crates/core/src/direct/admission.rs
+++ b/crates/core/src/direct/admission.rs
@@ -32,7 +32,7 @@
 
 /// Flows that wait for the same service.
 #[derive(Clone, Copy, Debug)]
-pub struct Ahead {
+pub struct QueueDepth {
     /// Those that may still be in time.
     pub in_time: usize,
     /// The others.
@@ -114,7 +114,7 @@
 
 /// Decides about a flow that finds no room, by the rates a second at which slots come free here and new flows come.
 #[must_use]
-pub fn admit(patience: WaitBudget, ahead: Ahead, slots_free: f64, arrivals: f64) -> Admission {
+pub fn admit(patience: WaitBudget, ahead: QueueDepth, slots_free: f64, arrivals: f64) -> Admission {
     let count = |flows: usize| f64::from(u32::try_from(flows).unwrap_or(u32::MAX)) + 1.0;
     let in_time = count(ahead.in_time) <= patience.in_time.as_secs_f64() * slots_free * OWN_PART;
     let left_over = slots_free - arrivals;
--- a/crates/core/src/direct/pending.rs
+++ b/crates/core/src/direct/pending.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use crate::Timestamp;
-use crate::direct::admission::Ahead;
+use crate::direct::admission::QueueDepth;
 use crate::direct::segment::FlowHash;
 use crate::direct::segment::Segment;
 use hawthornshift_model::TargetId;
@@ -134,9 +134,9 @@
 
     /// Returns how many flows wait for a service.
     #[must_use]
-    pub fn ahead(&self, service: &str) -> Ahead {
+    pub fn depth(&self, service: &str) -> QueueDepth {
         let count = |flows: &[PendingFlow]| flows.iter().filter(|waiting| waiting.service == service).count();
-        Ahead { in_time: count(&self.in_time), late: count(&self.late) }
+        QueueDepth { in_time: count(&self.in_time), late: count(&self.late) }
     }
 
     /// Takes a flow in. Returns the least urgent of those that are late if there are more than `capacity`: it could
--- a/crates/core/src/direct/steering/opening.rs
+++ b/crates/core/src/direct/steering/opening.rs
@@ -81,7 +81,7 @@
             self.rates.arrived(now, &share.service);
         }
         let late = waiting.is_late(now);
-        let ahead = self.waiting.ahead(&share.service);
+        let ahead = self.waiting.depth(&share.service);
         let first = ahead.in_time == 0 && (!late || ahead.late == 0);
         match self.choose(now, &waiting, self.limit(late)) {
             Choice::Target(target) if first => self.place(now, waiting, target, Outcome::Placed, effects),
@@ -104,7 +104,7 @@
         let (in_time, attempt) = (waiting.in_time_until.saturating_sub(now), waiting.until.saturating_sub(now));
         let patience = WaitBudget { in_time, attempt };
         let arrivals = self.rates.arrivals(now, service);
-        admission::admit(patience, self.waiting.ahead(service), slots_free, arrivals) == Admission::Reject
+        admission::admit(patience, self.waiting.depth(service), slots_free, arrivals) == Admission::Reject
     }
 
     /// Returns the rate, a second, at which slots of a service come free for this instance: as many as it uses now, or may
--- a/crates/core/tests/direct/overload.rs
+++ b/crates/core/tests/direct/overload.rs
@@ -8,7 +8,7 @@
 use hawthornshift_core::direct::adaptive_limit::AdaptiveLimits;
 use hawthornshift_core::direct::adaptive_limit::Usage;
 use hawthornshift_core::direct::admission::Admission;
-use hawthornshift_core::direct::admission::Ahead;
+use hawthornshift_core::direct::admission::QueueDepth;
 use hawthornshift_core::direct::admission::ServiceRates;
 use hawthornshift_core::direct::admission::WaitBudget;
 use hawthornshift_core::direct::admission::admit;
@@ -183,9 +183,9 @@
 #[test]
 fn a_flow_waits_only_if_it_can_be_served() {
     let patience = WaitBudget { in_time: ms(100), attempt: ms(1_000) };
-    let none = Ahead { in_time: 0, late: 0 };
+    let none = QueueDepth { in_time: 0, late: 0 };
     assert_eq!(admit(patience, none, 50.0, 500.0), Admission::Wait, "a slot comes free in time");
-    let many = Ahead { in_time: 20, late: 0 };
+    let many = QueueDepth { in_time: 20, late: 0 };
     assert_eq!(admit(patience, many, 50.0, 500.0), Admission::Reject, "new flows take all that comes free");
     assert_eq!(admit(patience, many, 50.0, 10.0), Admission::Wait, "late, but new flows leave much over");
     let late = WaitBudget { in_time: Duration::ZERO, ..patience };
