--- a/crates/core/src/direct/placement.rs
+++ b/crates/core/src/direct/placement.rs
@@ -61,7 +61,7 @@
     /// There are targets, all as full as the limit allows.
     Full,
     /// No target may get a flow of this service.
-    Nowhere,
+    NoTarget,
 }
 
 /// What a choice rests on.
@@ -146,7 +146,7 @@
         match best.or(best_suspected).or(last) {
             Some((_, _, id)) => Choice::Target(id),
             None if any => Choice::Full,
-            None => Choice::Nowhere,
+            None => Choice::NoTarget,
         }
     }
 
--- a/crates/core/src/direct/steering/opening.rs
+++ b/crates/core/src/direct/steering/opening.rs
@@ -85,8 +85,8 @@
         let first = ahead.in_time == 0 && (!late || ahead.late == 0);
         match self.choose(now, &waiting, self.limit(late)) {
             Choice::Target(target) if first => self.place(now, waiting, target, Outcome::Placed, effects),
-            Choice::Nowhere if self.all_cold(now, &waiting.service) => self.start_slowly(now, waiting, effects),
-            Choice::Nowhere => self.reject_pending(now, &waiting, Outcome::ResetNoTarget, effects),
+            Choice::NoTarget if self.all_cold(now, &waiting.service) => self.start_slowly(now, waiting, effects),
+            Choice::NoTarget => self.reject_pending(now, &waiting, Outcome::ResetNoTarget, effects),
             Choice::Full if self.is_hopeless(now, &waiting) => {
                 self.reject_pending(now, &waiting, Outcome::ResetFull, effects);
             }
@@ -331,7 +331,7 @@
                         self.place(now, waiting, target, Outcome::Placed, effects);
                     }
                 }
-                Choice::Full | Choice::Nowhere => {
+                Choice::Full | Choice::NoTarget => {
                     full.push(waiting.service.clone());
                     index += 1;
                 }
--- a/crates/core/src/direct/steering/timers.rs
+++ b/crates/core/src/direct/steering/timers.rs
@@ -173,7 +173,7 @@
         match self.choose(now, &waiting, Limit::Usual) {
             Choice::Target(target) => self.place(now, waiting, target, Outcome::Placed, effects),
             Choice::Full => self.reject_pending(now, &waiting, Outcome::ResetFull, effects),
-            Choice::Nowhere => self.reject_pending(now, &waiting, Outcome::ResetNoTarget, effects),
+            Choice::NoTarget => self.reject_pending(now, &waiting, Outcome::ResetNoTarget, effects),
         }
     }
 
