--- a/crates/core/src/direct/placement.rs
+++ b/crates/core/src/direct/placement.rs
@@ -84,7 +84,7 @@
     /// What is switched off for a trial.
     pub mechanisms: Mechanisms,
     /// Whether the work of all failure domains is told here.
-    pub all_told: bool,
+    pub all_domains_reported: bool,
     /// Handshake timeout, for trials of avoided targets.
     pub handshake_timeout: Duration,
     /// Number of this instance.
@@ -233,7 +233,7 @@
     fn cost(&self, now: Timestamp, target: &Target) -> f64 {
         let filled = f64::from(self.work.count(target.id) + 1) / f64::from(target.spec.slots.max(1));
         let local = target.spec.failure_domain == self.domain;
-        let remote = match (local, self.all_told) {
+        let remote = match (local, self.all_domains_reported) {
             (true, _) => 0.0,
             (false, true) => REMOTE,
             (false, false) => REMOTE_UNTOLD,
--- a/crates/core/src/direct/steering/mod.rs
+++ b/crates/core/src/direct/steering/mod.rs
@@ -145,7 +145,7 @@
     early: Vec<(Timestamp, Segment, Box<[u8]>)>,
     instances: Vec<InstanceId>,
     group: Vec<InstanceId>,
-    all_told: bool,
+    all_domains_reported: bool,
     /// Until when callers' packets may go unseen here; `None` before the first look at it.
     unseen_until: Option<Timestamp>,
     next_sweep: Timestamp,
@@ -203,7 +203,7 @@
             unsure_until: Timestamp::ZERO,
             next_refresh: Timestamp::ZERO,
             early: Vec::new(),
-            all_told: true,
+            all_domains_reported: true,
             unseen_until: None,
             next_sweep: Timestamp::ZERO,
             report: LoadReport::default(),
@@ -296,7 +296,13 @@
     ///
     /// An instance that has just become known has heard nothing of what is under way here, so all that was reported is told
     /// again.
-    pub fn set_fleet(&mut self, now: Timestamp, instances: Vec<InstanceId>, group: Vec<InstanceId>, all_told: bool) {
+    pub fn set_fleet(
+        &mut self,
+        now: Timestamp,
+        instances: Vec<InstanceId>,
+        group: Vec<InstanceId>,
+        all_domains_reported: bool,
+    ) {
         if instances.iter().any(|id| !self.instances.contains(id)) {
             let open = self.flows.unanswered().map(|flow| (flow.id.short(), flow.target));
             let open: Vec<_> = open.filter(|(flow, _)| self.work.is_reported(*flow)).collect();
@@ -309,7 +315,7 @@
         }
         self.instances = instances;
         self.group = group;
-        self.all_told = all_told;
+        self.all_domains_reported = all_domains_reported;
     }
 
     /// Takes over news of the store; tells whether anything was new.
--- a/crates/core/src/direct/steering/opening.rs
+++ b/crates/core/src/direct/steering/opening.rs
@@ -168,7 +168,7 @@
             limits: &self.limits,
             domain: &self.config.domain,
             mechanisms: self.config.mechanisms,
-            all_told: self.all_told,
+            all_domains_reported: self.all_domains_reported,
             handshake_timeout: self.handshake_timeout.limit(),
             me: self.config.id,
             instances: self.instances.len(),
--- a/crates/core/src/direct/steering/resetting.rs
+++ b/crates/core/src/direct/steering/resetting.rs
@@ -82,7 +82,7 @@
     /// Tells whether this instance is one of those that check a target for others: everyone in a small fleet, since most of
     /// its instances may be behind the same partition as the target, and a few of a failure domain in a large one.
     fn is_checker(&self, target: TargetId) -> bool {
-        if self.all_told {
+        if self.all_domains_reported {
             return true;
         }
         let mine = rendezvous::score(target, u64::from(self.config.id));
