--- a/crates/core/src/direct/placement.rs
+++ b/crates/core/src/direct/placement.rs
@@ -301,7 +301,7 @@
     }
 
     /// Notes that a peer has placed a flow on a cold target.
-    pub fn spent(&mut self, now: Timestamp, target: TargetId) {
+    pub fn taken_by_peer(&mut self, now: Timestamp, target: TargetId) {
         let next = self.next.entry(target).or_insert(Timestamp::ZERO);
         *next = (*next).max(now + COLD_PERIOD);
     }
--- a/crates/core/src/direct/steering/reporting.rs
+++ b/crates/core/src/direct/steering/reporting.rs
@@ -80,7 +80,7 @@
         let Some(target) = self.directory.by_cookie(open.target) else { return };
         self.work.receive(now, open.flow, target.id, Duration::from_millis(u64::from(open.age_ms)));
         if target.is_cold(now) || self.outliers.is_returning(now, target.id) {
-            self.cold.spent(now, target.id);
+            self.cold.taken_by_peer(now, target.id);
         }
     }
 
