--- a/crates/core/src/direct/readiness.rs
+++ b/crates/core/src/direct/readiness.rs
@@ -42,7 +42,7 @@
 
 /// What readiness rests on.
 #[derive(Clone, Copy, Debug)]
-pub struct Reach<'a> {
+pub struct ReadinessInputs<'a> {
     /// The targets.
     pub directory: &'a Directory,
     /// Which of them seem not to answer.
@@ -53,7 +53,7 @@
     pub handshake_timeout: Duration,
 }
 
-impl Reach<'_> {
+impl ReadinessInputs<'_> {
     /// Tells whether callers should be sent here, by whether other failure domains can be reached.
     ///
     /// Where no instance at all could serve, since nothing is listed or all is taken out, this one stays ready: callers
--- a/crates/core/src/direct/steering/mod.rs
+++ b/crates/core/src/direct/steering/mod.rs
@@ -37,8 +37,8 @@
 use crate::direct::placement::SlowStart;
 use crate::direct::reachability::ReachabilityChange;
 use crate::direct::reachability::ReachabilityChecks;
-use crate::direct::readiness::Reach;
 use crate::direct::readiness::Readiness;
+use crate::direct::readiness::ReadinessInputs;
 use crate::direct::readiness::Refusal;
 use crate::direct::segment::Cookie;
 use crate::direct::segment::Segment;
@@ -353,7 +353,7 @@
     /// Tells whether callers should be sent here, by whether other failure domains can be reached.
     #[must_use]
     pub fn readiness(&mut self, now: Timestamp, others_in_reach: bool) -> Readiness {
-        let reach = Reach {
+        let reach = ReadinessInputs {
             directory: &self.directory,
             outliers: &self.outliers,
             domain: &self.config.domain,
