--- a/crates/core/src/direct/readiness.rs
+++ b/crates/core/src/direct/readiness.rs
@@ -85,14 +85,14 @@
 
 /// Keeps an instance from refusing callers for good by what it does not hear.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Refusal {
+pub struct UnreadyLimit {
     since: Option<Timestamp>,
     trial_until: Timestamp,
 }
 
-impl Refusal {
+impl UnreadyLimit {
     /// Returns what to tell the fabric, by what was judged just now.
-    pub fn settle(&mut self, now: Timestamp, judged: Readiness) -> Readiness {
+    pub fn apply(&mut self, now: Timestamp, judged: Readiness) -> Readiness {
         if judged != Readiness::NoTargetInReach {
             self.since = None;
             return judged;
--- a/crates/core/src/direct/steering/mod.rs
+++ b/crates/core/src/direct/steering/mod.rs
@@ -39,7 +39,7 @@
 use crate::direct::reachability::ReachabilityChecks;
 use crate::direct::readiness::Readiness;
 use crate::direct::readiness::ReadinessInputs;
-use crate::direct::readiness::Refusal;
+use crate::direct::readiness::UnreadyLimit;
 use crate::direct::segment::Cookie;
 use crate::direct::segment::Segment;
 use crate::direct::segment::SegmentKind;
@@ -131,7 +131,7 @@
     checks: ReachabilityChecks,
     failures: Failures,
     answer_times: AnswerTimes,
-    refusal: Refusal,
+    refusal: UnreadyLimit,
     flows: FlowRecords,
     waiting: PendingQueue,
     handshake_timeout: HandshakeTimeout,
@@ -192,7 +192,7 @@
             checks: ReachabilityChecks::default(),
             failures: Failures::default(),
             answer_times: AnswerTimes::default(),
-            refusal: Refusal::default(),
+            refusal: UnreadyLimit::default(),
             flows: FlowRecords::default(),
             waiting: PendingQueue::default(),
             handshake_timeout: HandshakeTimeout::default(),
@@ -361,7 +361,7 @@
         };
         let others_in_reach = others_in_reach || !self.has(Mechanism::ReadinessByReach);
         let judged = reach.readiness(now, others_in_reach);
-        self.refusal.settle(now, judged)
+        self.refusal.apply(now, judged)
     }
 
     /// Tells whether new flows may be placed by what is known here.
