--- a/crates/core/src/direct/fleet/mod.rs
+++ b/crates/core/src/direct/fleet/mod.rs
@@ -29,7 +29,7 @@
 use crate::direct::message::Frame;
 use crate::direct::message::Heartbeat;
 use crate::direct::message::Message;
-use crate::direct::readiness::OUT_OF_REACH;
+use crate::direct::readiness::REMOTE_SILENCE_LIMIT;
 use crate::direct::store_entries::Delta;
 use crate::direct::watch::RoleChange;
 use crate::direct::watch::WatcherRole;
@@ -173,7 +173,7 @@
     /// all callers back to a failure domain that can serve nobody.
     #[must_use]
     pub fn reaches_other_domains(&self, now: Timestamp) -> bool {
-        if now.saturating_sub(self.heard_elsewhere.unwrap_or(self.started)) < OUT_OF_REACH {
+        if now.saturating_sub(self.heard_elsewhere.unwrap_or(self.started)) < REMOTE_SILENCE_LIMIT {
             return self.heard_elsewhere.is_some();
         }
         let domain = &self.membership.me().failure_domain;
--- a/crates/core/src/direct/readiness.rs
+++ b/crates/core/src/direct/readiness.rs
@@ -20,7 +20,7 @@
 ///
 /// An instance pings four members a second and is pinged as often, most of them elsewhere. By chance alone all may be near
 /// ones in this time, once in some dozen; the handshakes of targets elsewhere tell then.
-pub const OUT_OF_REACH: Duration = Duration::from_millis(600);
+pub const REMOTE_SILENCE_LIMIT: Duration = Duration::from_millis(600);
 
 /// Longest time for which an instance asks for no callers because of what it does not hear. Cuts last for seconds; and if
 /// all instances elsewhere are dead while the targets there live, only flows can show it.
@@ -70,7 +70,7 @@
         for target in self.directory.all_candidates(now) {
             if target.spec.failure_domain != self.domain {
                 any_elsewhere = true;
-                if self.outliers.answered_within(now, target.id, OUT_OF_REACH) {
+                if self.outliers.answered_within(now, target.id, REMOTE_SILENCE_LIMIT) {
                     return Readiness::Ready;
                 }
             } else if self.outliers.availability(now, target.id, self.handshake_timeout, || true)
