--- a/crates/core/src/direct/readiness.rs
+++ b/crates/core/src/direct/readiness.rs
@@ -35,7 +35,8 @@
     /// Callers can be served.
     Ready,
     /// The configuration and the targets are not known yet.
-    NotWhole,
+    #[strum(serialize = "not-whole")]
+    NotSynced,
     /// No target that may be used can be reached from here.
     NoTargetInReach,
 }
@@ -61,7 +62,7 @@
     #[must_use]
     pub fn readiness(&self, now: Timestamp, others_in_reach: bool) -> Readiness {
         if !self.directory.is_synced() {
-            return Readiness::NotWhole;
+            return Readiness::NotSynced;
         }
         if others_in_reach {
             return Readiness::Ready;
--- a/crates/core/tests/direct/readiness.rs
+++ b/crates/core/tests/direct/readiness.rs
@@ -23,7 +23,7 @@
         mechanisms: Mechanisms::default(),
     };
     let mut steering = Steering::new(config);
-    assert_eq!(steering.readiness(Timestamp::ZERO, true), Readiness::NotWhole);
+    assert_eq!(steering.readiness(Timestamp::ZERO, true), Readiness::NotSynced);
     steering.learn(Timestamp::ZERO, &whole(8), &mut Vec::new());
     assert_eq!(steering.readiness(Timestamp::ZERO, false), Readiness::Ready);
     let taken_out = VersionedEntry { revision: 20, entry: StoreEntry::Evacuated(domain(0), true) };
