--- a/crates/core/src/direct/load_report.rs
+++ b/crates/core/src/direct/load_report.rs
@@ -4,7 +4,7 @@
 //! and not the number of decisions. Nothing is confirmed or repeated: a lost report makes a target look one request fuller
 //! or emptier for a second at most.
 //!
-//! Which requests are reported is decided in [`work`](crate::direct::work): those that could change another instance's
+//! Which requests are reported is decided in [`open_requests`](crate::direct::open_requests): those that could change another instance's
 //! choice.
 
 use std::time::Duration;
--- a/crates/core/src/direct/message.rs
+++ b/crates/core/src/direct/message.rs
@@ -153,7 +153,7 @@
     /// What the store says.
     pub delta: Delta,
     /// Open work with its age.
-    pub work: Vec<(FlowHash, TargetId, Duration)>,
+    pub open_requests: Vec<(FlowHash, TargetId, Duration)>,
     /// Targets that seem not to answer, and for how much longer to avoid each.
     pub avoid: Vec<(TargetId, Duration)>,
     /// The other instances.
--- a/crates/core/src/direct/mod.rs
+++ b/crates/core/src/direct/mod.rs
@@ -6,7 +6,7 @@
 //! - [`steering`] decides about each packet; [`segment`] is what it sees of one.
 //! - [`directory`] is what the store says, in [`store_entries`] that instances pass on to each other; [`routes`] is the
 //!   configuration in it.
-//! - [`placement`] picks a target, by [`work`] (what targets hold, told between instances in [`load_report`]), [`outlier`]
+//! - [`placement`] picks a target, by [`open_requests`] (what targets hold, told between instances in [`load_report`]), [`outlier`]
 //!   and [`domain_reach`] (which seem not to answer, single ones and whole failure domains), [`failures`] (which answer with
 //!   failures, or by [`answer_times`] not at all though they finish handshakes) and [`handshake_timeout`] (how long a handshake may take).
 //! - [`reachability`] checks targets that owe answers, so that flows at those which are out of reach can be reset.
@@ -33,6 +33,7 @@
 pub mod load_report;
 pub mod mechanisms;
 pub mod message;
+pub mod open_requests;
 pub mod outlier;
 pub mod pause;
 pub mod pending;
@@ -47,4 +48,3 @@
 pub mod stopping;
 pub mod store_entries;
 pub mod watch;
-pub mod work;
--- a/crates/core/src/direct/work.rs
+++ b/crates/core/src/direct/open_requests.rs
@@ -81,7 +81,7 @@
 
 /// Open work of all targets.
 #[derive(Clone, Debug)]
-pub struct OpenWork {
+pub struct OpenRequests {
     flows: Map<FlowHash, Open>,
     counts: Map<TargetId, u32>,
     /// The part of these whose packets pass through this instance.
@@ -103,7 +103,7 @@
     }
 }
 
-impl Default for OpenWork {
+impl Default for OpenRequests {
     fn default() -> Self {
         Self {
             flows: Map::default(),
@@ -117,7 +117,7 @@
     }
 }
 
-impl OpenWork {
+impl OpenRequests {
     /// Returns how many requests a target is believed to hold.
     #[must_use]
     pub fn count(&self, target: TargetId) -> u32 {
--- a/crates/core/src/direct/placement.rs
+++ b/crates/core/src/direct/placement.rs
@@ -17,9 +17,9 @@
 use crate::direct::failures::Failures;
 use crate::direct::mechanisms::Mechanism;
 use crate::direct::mechanisms::Mechanisms;
+use crate::direct::open_requests::OpenRequests;
 use crate::direct::outlier::Availability;
 use crate::direct::outlier::Outliers;
-use crate::direct::work::OpenWork;
 use crate::rendezvous;
 use hawthornshift_model::InstanceId;
 use hawthornshift_model::TargetId;
@@ -70,7 +70,7 @@
     /// The targets.
     pub directory: &'a Directory,
     /// What they work on.
-    pub work: &'a OpenWork,
+    pub open_requests: &'a OpenRequests,
     /// Which of them seem not to answer.
     pub outliers: &'a Outliers,
     /// Which failure domains seem not to answer.
@@ -173,7 +173,7 @@
         let serves = |id: TargetId| {
             self.directory.target(id).is_some_and(|target| target.spec.service == service && inside(target))
         };
-        let open = self.work.own().filter(|(target, _)| serves(*target)).map(|(_, count)| count).sum();
+        let open = self.open_requests.own().filter(|(target, _)| serves(*target)).map(|(_, count)| count).sum();
         Usage { open, share: f64::from(slots) / f64::from(instances) }
     }
 
@@ -227,11 +227,11 @@
             Limit::Usual => WAITING_AT_TARGET,
             Limit::Full => TARGET_QUEUE,
         };
-        self.work.count(target.id) < target.spec.slots.max(1) + reserve
+        self.open_requests.count(target.id) < target.spec.slots.max(1) + reserve
     }
 
     fn cost(&self, now: Timestamp, target: &Target) -> f64 {
-        let filled = f64::from(self.work.count(target.id) + 1) / f64::from(target.spec.slots.max(1));
+        let filled = f64::from(self.open_requests.count(target.id) + 1) / f64::from(target.spec.slots.max(1));
         let local = target.spec.failure_domain == self.domain;
         let remote = match (local, self.all_domains_reported) {
             (true, _) => 0.0,
@@ -239,7 +239,8 @@
             (false, false) => REMOTE_UNTOLD,
         };
         let remote = if self.mechanisms.has(Mechanism::RemoteCost) { remote } else { 0.0 };
-        let slowness = if self.mechanisms.has(Mechanism::Slowness) { self.work.slowness(now, target.id) } else { 1.0 };
+        let slowness =
+            if self.mechanisms.has(Mechanism::Slowness) { self.open_requests.slowness(now, target.id) } else { 1.0 };
         filled * slowness + remote
     }
 }
--- a/crates/core/src/direct/steering/following.rs
+++ b/crates/core/src/direct/steering/following.rs
@@ -82,11 +82,11 @@
         self.flows.insert(Flow { id, target, sequence, stage, first_seen, last_seen, objective, overdue });
         if asks {
             self.expect_answer(now, target, effects);
-            self.work.start(now, short, target);
+            self.open_requests.start(now, short, target);
             self.report_open(now, short, target);
         } else {
-            self.work.finish(now, short);
-            let unreported = self.work.take_unreported(target);
+            self.open_requests.finish(now, short);
+            let unreported = self.open_requests.take_unreported(target);
             self.report.ended.push(AnsweredRequest { flow: short, unreported });
         }
     }
@@ -118,7 +118,7 @@
                 self.judge_answer(now, segment, target, begun);
                 let short = segment.flow.short();
                 self.expect_answer(now, target, effects);
-                self.work.start(now, short, target);
+                self.open_requests.start(now, short, target);
                 self.report_if_notable(now, short, target);
                 segment.acknowledged
             }
@@ -161,7 +161,7 @@
             record(&mut self.handshakes, took);
         }
         if moved {
-            self.work.start(now, flow.short(), target);
+            self.open_requests.start(now, flow.short(), target);
             self.report_open(now, flow.short(), target);
         }
     }
@@ -200,15 +200,15 @@
 
     fn end_answered(&mut self, now: Timestamp, id: FlowId, target: TargetId, took: Duration) {
         self.note_alive(now, target);
-        let Some(ended) = self.work.finish(now, id.short()) else {
-            self.work.learn(now, target, took);
+        let Some(ended) = self.open_requests.finish(now, id.short()) else {
+            self.open_requests.learn(now, target, took);
             return;
         };
         self.failures.answered(ended.target);
         self.answer_times.answered(id.service, now.saturating_sub(ended.took), ended.took);
         self.learn_load(now, ended.target, ended.took);
         if ended.reported {
-            let unreported = self.work.take_unreported(ended.target);
+            let unreported = self.open_requests.take_unreported(ended.target);
             self.report.ended.push(AnsweredRequest { flow: id.short(), unreported });
         }
     }
@@ -243,13 +243,13 @@
     }
 
     pub(super) fn end_work(&mut self, id: FlowId) {
-        if self.work.abandon(id.short()) == Some(true) {
+        if self.open_requests.abandon(id.short()) == Some(true) {
             self.report.abandoned.push(id.short());
         }
     }
 
     fn report_failure(&mut self, target: TargetId) {
-        let unreported = self.work.take_unreported(target);
+        let unreported = self.open_requests.take_unreported(target);
         self.report.failed.push(FailedRequest { target: cookie(target), unreported });
     }
 
@@ -266,7 +266,7 @@
     pub(super) fn unanswered(&mut self, now: Timestamp, flow: &Flow) {
         let took = now.saturating_sub(flow.first_seen);
         let judged = self.has(Mechanism::FailureDetection) && !flow.overdue;
-        if judged && matches!(flow.stage, Stage::Working { .. }) && took >= self.work.usual() * HUNG {
+        if judged && matches!(flow.stage, Stage::Working { .. }) && took >= self.open_requests.usual() * HUNG {
             self.failures.failed(now, flow.target);
             self.report_failure(flow.target);
         }
--- a/crates/core/src/direct/steering/mod.rs
+++ b/crates/core/src/direct/steering/mod.rs
@@ -31,6 +31,7 @@
 use crate::direct::mechanisms::Mechanism;
 use crate::direct::mechanisms::Mechanisms;
 use crate::direct::message::Handover;
+use crate::direct::open_requests::OpenRequests;
 use crate::direct::outlier::Outliers;
 use crate::direct::pending::PendingQueue;
 use crate::direct::placement::Limit;
@@ -44,7 +45,6 @@
 use crate::direct::segment::Segment;
 use crate::direct::segment::SegmentKind;
 use crate::direct::store_entries::Delta;
-use crate::direct::work::OpenWork;
 use hawthornshift_model::InstanceId;
 use hawthornshift_model::Revision;
 use hawthornshift_model::TargetId;
@@ -125,7 +125,7 @@
 pub struct Steering {
     config: SteeringConfig,
     directory: Directory,
-    work: OpenWork,
+    open_requests: OpenRequests,
     outliers: Outliers,
     domains: DomainReach,
     checks: ReachabilityChecks,
@@ -186,7 +186,7 @@
             group: vec![config.id],
             config,
             directory: Directory::default(),
-            work: OpenWork::default(),
+            open_requests: OpenRequests::default(),
             outliers: Outliers::default(),
             domains: DomainReach::default(),
             checks: ReachabilityChecks::default(),
@@ -231,8 +231,8 @@
 
     /// Returns the open work.
     #[must_use]
-    pub fn work(&self) -> &OpenWork {
-        &self.work
+    pub fn open_requests(&self) -> &OpenRequests {
+        &self.open_requests
     }
 
     /// Returns the targets that are avoided.
@@ -305,7 +305,7 @@
     ) {
         if instances.iter().any(|id| !self.instances.contains(id)) {
             let open = self.flows.unanswered().map(|flow| (flow.id.short(), flow.target));
-            let open: Vec<_> = open.filter(|(flow, _)| self.work.is_reported(*flow)).collect();
+            let open: Vec<_> = open.filter(|(flow, _)| self.open_requests.is_reported(*flow)).collect();
             for (flow, target) in open {
                 self.report_open(now, flow, target);
             }
@@ -393,15 +393,15 @@
         if since > 0 {
             return Handover { delta, ..Handover::default() };
         }
-        let (work, avoid) = (self.work.open(now).collect(), self.outliers.avoided(now).collect());
-        Handover { delta, work, avoid, members: Vec::new() }
+        let (open_requests, avoid) = (self.open_requests.open(now).collect(), self.outliers.avoided(now).collect());
+        Handover { delta, open_requests, avoid, members: Vec::new() }
     }
 
     /// Takes over what a peer has handed over; tells whether the store's part brought anything new.
     pub fn adopt(&mut self, now: Timestamp, handover: &Handover, effects: &mut Vec<Effect>) -> bool {
-        for (flow, target, age) in &handover.work {
-            if !self.work.is_open(*flow) {
-                self.work.receive(now, *flow, *target, *age);
+        for (flow, target, age) in &handover.open_requests {
+            if !self.open_requests.is_open(*flow) {
+                self.open_requests.receive(now, *flow, *target, *age);
             }
         }
         for (target, avoidance) in &handover.avoid {
--- a/crates/core/src/direct/steering/opening.rs
+++ b/crates/core/src/direct/steering/opening.rs
@@ -150,7 +150,7 @@
     /// Returns how many flows may wait here: this instance's part of what the targets can do in the horizon.
     fn waiting_capacity(&self, now: Timestamp, service: &str) -> usize {
         let slots: u32 = self.directory.candidates(now, service).map(|target| target.spec.slots).sum();
-        let usual = self.work.usual().max(Duration::from_millis(1));
+        let usual = self.open_requests.usual().max(Duration::from_millis(1));
         let all = f64::from(slots) * WAITING_HORIZON / usual.as_secs_f64();
         let instances = f64::from(u32::try_from(self.instances.len()).unwrap_or(u32::MAX)).max(1.0);
         #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "clamped to the range just before")]
@@ -161,7 +161,7 @@
     pub(super) fn placement(&self) -> Placement<'_> {
         Placement {
             directory: &self.directory,
-            work: &self.work,
+            open_requests: &self.open_requests,
             outliers: &self.outliers,
             domains: &self.domains,
             failures: &self.failures,
@@ -180,7 +180,7 @@
         let hash = waiting.segment.flow.hash64();
         let alone = self.instances.len() <= 1;
         let late = waiting.is_late(now) && waiting.tried.is_empty();
-        if alone && late && self.has(Mechanism::SoloWindow) && !self.concurrency.allows(self.work.total()) {
+        if alone && late && self.has(Mechanism::SoloWindow) && !self.concurrency.allows(self.open_requests.total()) {
             return Choice::Full;
         }
         self.placement().choose(now, &waiting.service, hash, limit, &waiting.tried)
@@ -227,9 +227,9 @@
         let objective = self.directory.route(segment.flow.service).map_or(Duration::MAX, |r| r.latency_objective);
         let took = now.saturating_sub(since);
         let decision = Decision { copies, took, tried: tried.len(), ..Decision::new(segment.flow, outcome) };
-        self.decide(Decision { target: Some(target), work: self.work.count(target), ..decision });
+        self.decide(Decision { target: Some(target), work: self.open_requests.count(target), ..decision });
         let flow = segment.flow.short();
-        self.work.start(now, flow, target);
+        self.open_requests.start(now, flow, target);
         self.report_if_notable(now, flow, target);
         self.outliers.tried(now, target);
         if let Some(target) = self.directory.target(target) {
--- a/crates/core/src/direct/steering/reporting.rs
+++ b/crates/core/src/direct/steering/reporting.rs
@@ -25,7 +25,7 @@
         }
         for flow in &report.abandoned {
             self.flows.answered_elsewhere(*flow);
-            self.work.abandon(*flow);
+            self.open_requests.abandon(*flow);
         }
         for failed in &report.failed {
             if let Some(target) = self.known(failed.target) {
@@ -78,7 +78,7 @@
         self.flows.moved(open.flow);
         self.waiting.remove(open.flow);
         let Some(target) = self.directory.by_cookie(open.target) else { return };
-        self.work.receive(now, open.flow, target.id, Duration::from_millis(u64::from(open.age_ms)));
+        self.open_requests.receive(now, open.flow, target.id, Duration::from_millis(u64::from(open.age_ms)));
         if target.is_cold(now) || self.outliers.is_returning(now, target.id) {
             self.cold.taken_by_peer(now, target.id);
         }
@@ -86,7 +86,7 @@
 
     fn receive_answered(&mut self, now: Timestamp, answered: AnsweredRequest) {
         self.flows.answered_elsewhere(answered.flow);
-        if let Some(ended) = self.work.receive_end(now, answered.flow, answered.unreported) {
+        if let Some(ended) = self.open_requests.receive_end(now, answered.flow, answered.unreported) {
             self.outliers.record_liveness(now, ended.target);
             self.count_answers(ended.target, answered.unreported.saturating_add(1));
         }
@@ -114,7 +114,7 @@
         if !self.has(Mechanism::LoadReports) {
             return;
         }
-        let Some(since) = self.work.mark_reported(flow) else { return };
+        let Some(since) = self.open_requests.mark_reported(flow) else { return };
         let age_ms = u16::try_from(now.saturating_sub(since).as_millis()).unwrap_or(u16::MAX);
         self.report.started.push(OpenRequest { flow, target: cookie(target), age_ms });
     }
@@ -123,7 +123,10 @@
     /// was last used, its slots are full, or it is cold, and then every other instance must know that its rate is used up.
     pub(super) fn report_if_notable(&mut self, now: Timestamp, flow: FlowHash, target: TargetId) {
         let slots = self.directory.target(target).map_or(1, |target| target.spec.slots.max(1));
-        if self.work.has_been_slow(target) || self.work.count(target) > slots || self.is_cold(now, target) {
+        if self.open_requests.has_been_slow(target)
+            || self.open_requests.count(target) > slots
+            || self.is_cold(now, target)
+        {
             self.report_open(now, flow, target);
         }
     }
--- a/crates/core/src/direct/steering/resetting.rs
+++ b/crates/core/src/direct/steering/resetting.rs
@@ -107,8 +107,8 @@
         if !self.has(Mechanism::TargetChecks) {
             return;
         }
-        let work = &self.work;
-        let usual = |target| work.usual().mul_f64(work.slowness(now, target));
+        let open_requests = &self.open_requests;
+        let usual = |target| open_requests.usual().mul_f64(open_requests.slowness(now, target));
         for target in self.checks.take_due(now, usual) {
             if self.directory.is_replaced(target) {
                 self.checks.skip(now, target);
--- a/crates/core/src/direct/steering/timers.rs
+++ b/crates/core/src/direct/steering/timers.rs
@@ -51,7 +51,7 @@
             self.refresh(now);
             self.check_targets(now, effects);
         }
-        self.work.expire(now);
+        self.open_requests.expire(now);
         if now >= self.next_sweep {
             self.next_sweep = now + SWEEP;
             for flow in self.flows.sweep(now) {
@@ -69,7 +69,7 @@
         let unseen = now < *self.unseen_until.get_or_insert(now + UNSEEN);
         let (mut ended, mut open) = (Vec::new(), Vec::new());
         for flow in self.flows.unanswered() {
-            let silence = self.work.silence_limit(now, flow.target);
+            let silence = self.open_requests.silence_limit(now, flow.target);
             let overdue = self.answer_times.limit(flow.id.service).filter(|_| !unseen);
             if now.saturating_sub(flow.last_seen) >= overdue.map_or(silence, |limit| limit.max(silence)) {
                 ended.push(flow.id);
@@ -90,7 +90,7 @@
 
     /// Sets the target of a request aside that should have answered it, if that is the target's fault.
     fn judge_unanswered(&mut self, now: Timestamp, id: FlowId) {
-        let Some(sent) = self.work.opened_at(id.short()) else { return };
+        let Some(sent) = self.open_requests.opened_at(id.short()) else { return };
         if !self.answer_times.has_later_answer(id.service, sent)
             || self.may_be_queued(id)
             || self.many_are_aside(now, id)
@@ -116,7 +116,7 @@
         target.is_none_or(|target| {
             let facts = &target.spec;
             let overloaded = self.limits.size(&facts.service, &facts.failure_domain).is_some();
-            overloaded || self.work.count(target.id) > facts.slots.max(1)
+            overloaded || self.open_requests.count(target.id) > facts.slots.max(1)
         })
     }
 
@@ -133,12 +133,12 @@
 
     /// Keeps a request counted that its caller's packets show to be open, and reports it if it is notable.
     fn say_open(&mut self, now: Timestamp, flow: FlowHash, target: TargetId) {
-        if !self.work.is_open(flow) {
+        if !self.open_requests.is_open(flow) {
             return;
         }
-        let notable = self.work.wants_report(now, flow);
-        if notable || !self.work.is_reported(flow) {
-            self.work.keep(now, flow);
+        let notable = self.open_requests.wants_report(now, flow);
+        if notable || !self.open_requests.is_reported(flow) {
+            self.open_requests.keep(now, flow);
         }
         if notable {
             self.report_open(now, flow, target);
--- a/crates/core/tests/direct/fleet.rs
+++ b/crates/core/tests/direct/fleet.rs
@@ -956,7 +956,7 @@
         let mut text = format!("held {held:?}");
         for instance in self.instances.iter().flatten() {
             let steering = &instance.steering;
-            let counts: Vec<u32> = self.targets.keys().map(|id| steering.work().count(*id)).collect();
+            let counts: Vec<u32> = self.targets.keys().map(|id| steering.open_requests().count(*id)).collect();
             let (flows, waiting) = steering.sizes();
             let _ = write!(text, "\n      believed {counts:?} flows {flows} waiting {waiting}");
         }
--- a/crates/core/tests/direct/rules.rs
+++ b/crates/core/tests/direct/rules.rs
@@ -352,7 +352,7 @@
         };
         steering.receive(now, &started, &mut effects);
         steering.receive(now + ms(50), &LoadReport { abandoned: vec![round], ..LoadReport::default() }, &mut effects);
-        assert_eq!(steering.work().total(), 0);
+        assert_eq!(steering.open_requests().total(), 0);
     }
     let trust = steering.outliers().availability(ms(1_200), target_id(0), ms(40), || false);
     assert_eq!(trust, Availability::Unresponsive);
--- a/crates/direct/src/dump.rs
+++ b/crates/direct/src/dump.rs
@@ -98,8 +98,8 @@
     let (flows, waiting) = steering.sizes();
     let targets = directory.targets().map(|target| TargetState {
         target,
-        work: steering.work().count(target.id),
-        slowness: steering.work().slowness(now, target.id),
+        work: steering.open_requests().count(target.id),
+        slowness: steering.open_requests().slowness(now, target.id),
         cold: target.is_cold(now),
         takes_flows: target.takes_flows(now) && !directory.is_evacuated(&target.spec.failure_domain),
     });
--- a/crates/direct/src/metrics.rs
+++ b/crates/direct/src/metrics.rs
@@ -43,7 +43,7 @@
     gauge!("hawthornshift_instances_serving").set(number(sources.fleet.serving().len()));
     gauge!("hawthornshift_flows_recorded").set(number(flows));
     gauge!("hawthornshift_flows_waiting").set(number(waiting));
-    gauge!("hawthornshift_work_open").set(number(sources.steering.work().total()));
+    gauge!("hawthornshift_work_open").set(number(sources.steering.open_requests().total()));
     gauge!("hawthornshift_targets_avoided").set(number(sources.steering.outliers().avoided(now).count()));
     gauge!("hawthornshift_targets_unreachable").set(number(sources.steering.unreachable()));
     gauge!("hawthornshift_targets_failing").set(number(sources.steering.failing(now)));
