--- a/crates/core/src/direct/open_requests.rs
+++ b/crates/core/src/direct/open_requests.rs
@@ -218,7 +218,7 @@
     /// Tells whether the other instances should hear of a flow's request: it has become notable, or nobody has said for a
     /// while that it is still open.
     #[must_use]
-    pub fn wants_report(&self, now: Timestamp, flow: FlowHash) -> bool {
+    pub fn needs_report(&self, now: Timestamp, flow: FlowHash) -> bool {
         let Some(open) = self.flows.get(&flow) else { return false };
         if open.reported {
             return now.saturating_sub(open.heard) >= REFRESH;
--- a/crates/core/src/direct/steering/timers.rs
+++ b/crates/core/src/direct/steering/timers.rs
@@ -136,7 +136,7 @@
         if !self.open_requests.is_open(flow) {
             return;
         }
-        let notable = self.open_requests.wants_report(now, flow);
+        let notable = self.open_requests.needs_report(now, flow);
         if notable || !self.open_requests.is_reported(flow) {
             self.open_requests.keep(now, flow);
         }
