--- a/crates/core/src/keeper.rs
+++ b/crates/core/src/coordinator.rs
@@ -210,7 +210,7 @@
 
 /// The targets that this instance keeps.
 #[derive(Clone, Debug)]
-pub struct Keeper {
+pub struct TargetCoordinator {
     me: InstanceId,
     tuning: Tuning,
     kept: BTreeMap<TargetId, Kept>,
@@ -221,7 +221,7 @@
     running: BTreeMap<RequestId, TargetId>,
 }
 
-impl Keeper {
+impl TargetCoordinator {
     /// Starts with no target.
     #[must_use]
     pub fn new(me: InstanceId, tuning: Tuning) -> Self {
@@ -266,7 +266,7 @@
     pub fn view_changed(&mut self, now: Timestamp, view: &View, rng: &mut SmallRng) -> Vec<RequestId> {
         let catalog = view.catalog();
         let mine: Vec<&TargetEntry> =
-            catalog.targets().filter(|target| view.keeper(target.id) == Some(self.me)).collect();
+            catalog.targets().filter(|target| view.coordinator(target.id) == Some(self.me)).collect();
         let keep: BTreeSet<TargetId> = mine.iter().map(|target| target.id).collect();
         let gone: Vec<TargetId> = self.kept.keys().copied().filter(|id| !keep.contains(id)).collect();
         for id in gone {
--- a/crates/core/src/dump.rs
+++ b/crates/core/src/dump.rs
@@ -2,9 +2,9 @@
 
 use serde::Serialize;
 
+use crate::coordinator::KeptDump;
 use crate::flows::FlowCounts;
 use crate::invariants::Breach;
-use crate::keeper::KeptDump;
 use crate::message::MemberUpdate;
 use crate::requests::RequestCounts;
 use hawthornshift_model::InstanceId;
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -8,7 +8,7 @@
 //!
 //! - [`membership`] keeps who is alive, [`configuration`] which set is in force; together they make a [`view::View`].
 //! - [`flows`] finds the home of each datagram flow under that view, and under earlier ones while they matter.
-//! - [`keeper`] counts the slots of the targets that this instance keeps, and raises cold ones step by step.
+//! - [`coordinator`] counts the slots of the targets that this instance keeps, and raises cold ones step by step.
 //! - [`tickets`] and [`requests`] see to it that a non-idempotent request runs at most once and that each refusal is
 //!   true.
 //! - [`direct`] is the path on which targets answer callers themselves; of the above it uses only membership and
@@ -19,13 +19,13 @@
 mod backoff;
 pub mod catalog;
 pub mod configuration;
+pub mod coordinator;
 pub mod direct;
 pub mod dump;
 pub mod event;
 pub mod flows;
 pub mod health;
 pub mod invariants;
-pub mod keeper;
 pub mod maps;
 pub mod membership;
 pub mod message;
--- a/crates/core/src/message.rs
+++ b/crates/core/src/message.rs
@@ -86,7 +86,8 @@
         callers: Vec<SocketAddr>,
     },
     /// Tells a target's new keeper what the former one still runs there.
-    KeeperRelease {
+    #[serde(rename = "keeper-release")]
+    CoordinatorRelease {
         /// The target.
         target: TargetId,
         /// Requests still running.
--- a/crates/core/src/node/messages.rs
+++ b/crates/core/src/node/messages.rs
@@ -55,8 +55,8 @@
             PeerMessage::FlowBatchAck { sequence, superseded } => {
                 self.flows.batch_acknowledged(now, sequence, &superseded);
             }
-            PeerMessage::KeeperRelease { target, running } => {
-                self.keeper.released_by(now, from, target, running);
+            PeerMessage::CoordinatorRelease { target, running } => {
+                self.coordinator.released_by(now, from, target, running);
                 let (requests, mut cx) = self.request_cx(now, out);
                 requests.start_waiting(&mut cx);
             }
@@ -119,7 +119,7 @@
             set_digest: self.configuration.catalog().digest(),
             view: self.view.digest(),
             members,
-            targets: if near { self.keeper.news(false) } else { Vec::new() },
+            targets: if near { self.coordinator.news(false) } else { Vec::new() },
         }
     }
 
@@ -148,7 +148,7 @@
 
     /// Tells the instances of this failure domain what has changed about the targets kept here.
     pub(super) fn send_target_news(&mut self, out: &mut Vec<Output>) {
-        let news = self.keeper.news(true);
+        let news = self.coordinator.news(true);
         if news.is_empty() {
             return;
         }
@@ -167,10 +167,10 @@
     }
 
     pub(super) fn send_releases(&mut self, out: &mut Vec<Output>) {
-        for (target, running) in self.keeper.take_releases() {
-            let keeper = self.view.keeper(target).filter(|id| *id != self.membership.me().id);
-            if let Some(to) = keeper {
-                self.send(to, PeerMessage::KeeperRelease { target, running }, out);
+        for (target, running) in self.coordinator.take_releases() {
+            let coordinator = self.view.coordinator(target).filter(|id| *id != self.membership.me().id);
+            if let Some(to) = coordinator {
+                self.send(to, PeerMessage::CoordinatorRelease { target, running }, out);
             }
         }
     }
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -21,6 +21,7 @@
 use crate::catalog::Catalog;
 use crate::configuration::Adoption;
 use crate::configuration::Configuration;
+use crate::coordinator::TargetCoordinator;
 use crate::event::HealthReport;
 use crate::event::Input;
 use crate::event::InstanceList;
@@ -33,7 +34,6 @@
 use crate::flows::Surroundings;
 use crate::health::TargetStatusCache;
 use crate::invariants::Ledger;
-use crate::keeper::Keeper;
 use crate::membership::Identity;
 use crate::membership::Membership;
 use crate::message::MemberUpdate;
@@ -72,7 +72,7 @@
     health: TargetStatusCache,
     flows: Flows,
     streams: Streams,
-    keeper: Keeper,
+    coordinator: TargetCoordinator,
     tickets: Tickets,
     requests: Requests,
 }
@@ -100,7 +100,7 @@
             health: TargetStatusCache::default(),
             flows: Flows::new(me, &tuning),
             streams: Streams::default(),
-            keeper: Keeper::new(me, tuning.clone()),
+            coordinator: TargetCoordinator::new(me, tuning.clone()),
             tickets,
             requests: Requests::default(),
             tuning,
@@ -178,7 +178,7 @@
                 self.platform.failed(now, resource, watches, &mut self.rng);
             }
             Input::Probed { target, report, load } => {
-                self.keeper.note_load(target, load);
+                self.coordinator.note_load(target, load);
                 self.probed(now, target, report, out);
             }
             Input::StreamOpened { stream, service, caller } => {
@@ -233,7 +233,7 @@
             closed: matches!(self.phase, Phase::Farewell { .. } | Phase::Stopped | Phase::Superseded),
             view: &self.view,
             members: &self.membership,
-            keeper: &mut self.keeper,
+            coordinator: &mut self.coordinator,
             tickets: &mut self.tickets,
             ledger: &mut self.ledger,
             rng: &mut self.rng,
@@ -284,7 +284,7 @@
     }
 
     fn tick_probes(&mut self, now: Timestamp, out: &mut Vec<Output>) {
-        for id in self.keeper.due_probes(now, &mut self.rng) {
+        for id in self.coordinator.due_probes(now, &mut self.rng) {
             if let Some(target) = self.view.catalog().target(id) {
                 out.push(Output::Probe { target: id, address: target.health });
             }
@@ -362,7 +362,7 @@
         }
         let former = std::mem::replace(&mut self.view, view);
         self.flows.view_changed(now, former, self.configuration.catalog());
-        let stranded = self.keeper.view_changed(now, &self.view, &mut self.rng);
+        let stranded = self.coordinator.view_changed(now, &self.view, &mut self.rng);
         self.requests.view_changed(&self.view, &self.membership.me().failure_domain);
         let (requests, mut cx) = self.request_cx(now, out);
         requests.stranded(&mut cx, stranded);
@@ -372,7 +372,7 @@
     }
 
     fn probed(&mut self, now: Timestamp, target: TargetId, report: Option<HealthReport>, out: &mut Vec<Output>) {
-        self.keeper.probed(now, target, report);
+        self.coordinator.probed(now, target, report);
         let (requests, mut cx) = self.request_cx(now, out);
         requests.start_waiting(&mut cx);
     }
--- a/crates/core/src/node/state.rs
+++ b/crates/core/src/node/state.rs
@@ -41,11 +41,11 @@
             streams: self.streams.len(),
             requests: *self.requests.counts(),
             requests_under_way: self.requests.under_way(),
-            running: self.keeper.running(),
-            queued: self.keeper.queued(),
+            running: self.coordinator.running(),
+            queued: self.coordinator.queued(),
             tickets_remembered: self.tickets.remembered(),
             answer_bytes: self.tickets.answer_bytes(),
-            kept: self.keeper.kept(name),
+            kept: self.coordinator.kept(name),
             breaches: self.ledger.breaches(),
         }
     }
--- a/crates/core/src/requests/mod.rs
+++ b/crates/core/src/requests/mod.rs
@@ -27,15 +27,15 @@
 use self::routing::Routing;
 use crate::Timestamp;
 use crate::catalog::GroupId;
+use crate::coordinator::Admission;
+use crate::coordinator::Evidence;
+use crate::coordinator::TargetCoordinator;
 use crate::event::AnswerNote;
 use crate::event::AttemptNumber;
 use crate::event::Output;
 use crate::event::RequestId;
 use crate::invariants::Invariant;
 use crate::invariants::Ledger;
-use crate::keeper::Admission;
-use crate::keeper::Evidence;
-use crate::keeper::Keeper;
 use crate::maps::Map;
 use crate::membership::Membership;
 use crate::message::PassHead;
@@ -71,7 +71,7 @@
     /// The other instances.
     pub members: &'a Membership,
     /// The targets kept here.
-    pub keeper: &'a mut Keeper,
+    pub coordinator: &'a mut TargetCoordinator,
     /// The tickets issued here.
     pub tickets: &'a mut Tickets,
     /// Breaches.
@@ -116,7 +116,7 @@
     /// From the entry, with a ticket issued here: this instance is the owner.
     Issuer,
     /// From the owner: this instance is the keeper.
-    Keeper,
+    Coordinator,
 }
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -133,7 +133,7 @@
     /// At the ticket's issuer.
     AtIssuer,
     /// At a keeper.
-    AtKeeper(InstanceId),
+    AtCoordinator(InstanceId),
     /// Waits for a slot here.
     Queued,
     /// Runs at a target kept here.
@@ -228,13 +228,13 @@
     /// what it came for; the fence lifts within a fraction of a second.
     fn begin(&mut self, cx: &mut RequestCx<'_>, request: RequestId, ticket: Option<&str>) {
         let Some(entry) = self.entries.get_mut(&request) else { return };
-        if cx.trust == Trust::None && entry.part != Part::Keeper {
+        if cx.trust == Trust::None && entry.part != Part::Coordinator {
             entry.stage = Stage::Fenced { with_ticket: ticket.is_some() };
             self.fenced.push((request, ticket.map(str::to_owned)));
             return;
         }
         match (entry.part, ticket) {
-            (Part::Keeper, _) => self.keep(cx, request),
+            (Part::Coordinator, _) => self.keep(cx, request),
             (Part::Owner, _) if entry.idempotent => self.dispatch(cx, request),
             (_, None) => self.refuse(cx, request, Verdict::NotRun, Reason::TicketRequired),
             (Part::Entry, Some(text)) => self.pass_to_issuer(cx, request, text),
@@ -255,7 +255,7 @@
         self.counts.passed_in += 1;
         let part = match head.purpose {
             PassPurpose::Redeem { .. } => Part::Issuer,
-            PassPurpose::Keep => Part::Keeper,
+            PassPurpose::Keep => Part::Coordinator,
         };
         let arrived = Arrived {
             request,
@@ -302,7 +302,7 @@
         };
         self.deadlines.insert((entry.deadline, request));
         self.entries.insert(request, entry);
-        if cx.trust == Trust::None && part == Part::Keeper {
+        if cx.trust == Trust::None && part == Part::Coordinator {
             self.refuse(cx, request, Verdict::NotRun, Reason::Fenced);
             return false;
         }
@@ -362,34 +362,34 @@
     fn dispatch(&mut self, cx: &mut RequestCx<'_>, request: RequestId) {
         let Some(entry) = self.entries.get_mut(&request) else { return };
         let me = cx.members.me().id;
-        let spare = cx.keeper.spare_slots(cx.now, entry.group, cx.trust);
+        let spare = cx.coordinator.spare_slots(cx.now, entry.group, cx.trust);
         let choice = if entry.tried.len() < MAX_KEEPERS {
             self.routing.choose(cx.now, entry.group, &entry.tried, me, spare, cx.rng)
         } else {
             None
         };
-        let Some(keeper) = choice else {
+        let Some(coordinator) = choice else {
             let reason = if entry.tried.is_empty() { Reason::NoTarget } else { Reason::Overloaded };
             return self.refuse(cx, request, Verdict::NotRun, reason);
         };
-        entry.tried.push(keeper);
-        if keeper == me {
+        entry.tried.push(coordinator);
+        if coordinator == me {
             return self.keep(cx, request);
         }
-        let Some(address) = cx.members.member(keeper).map(|update| update.control) else {
+        let Some(address) = cx.members.member(coordinator).map(|update| update.control) else {
             return self.dispatch(cx, request);
         };
-        entry.stage = Stage::AtKeeper(keeper);
+        entry.stage = Stage::AtCoordinator(coordinator);
         entry.exposed = true;
         let head = entry.pass_head(cx.now, PassPurpose::Keep);
-        self.routing.passed(keeper, entry.group);
-        cx.out.push(Output::Pass { request, to: keeper, address, head });
+        self.routing.passed(coordinator, entry.group);
+        cx.out.push(Output::Pass { request, to: coordinator, address, head });
     }
 
     /// Gives a request a slot of a target kept here, or a place in the queue.
     fn keep(&mut self, cx: &mut RequestCx<'_>, request: RequestId) {
         let Some(entry) = self.entries.get_mut(&request) else { return };
-        let admission = cx.keeper.admit(cx.now, request, entry.group, entry.class, cx.trust, cx.ledger);
+        let admission = cx.coordinator.admit(cx.now, request, entry.group, entry.class, cx.trust, cx.ledger);
         match admission {
             Admission::Run(target) => self.execute(cx, request, target),
             Admission::Queued => entry.stage = Stage::Queued,
@@ -404,11 +404,11 @@
 
     fn execute(&mut self, cx: &mut RequestCx<'_>, request: RequestId, target: TargetId) {
         let Some(entry) = self.entries.get_mut(&request) else {
-            cx.keeper.ended(cx.now, request, Evidence::Nothing);
+            cx.coordinator.ended(cx.now, request, Evidence::Nothing);
             return;
         };
         let Some(target) = cx.view.catalog().target(target) else {
-            cx.keeper.ended(cx.now, request, Evidence::Nothing);
+            cx.coordinator.ended(cx.now, request, Evidence::Nothing);
             return self.try_elsewhere(cx, request, Reason::NoTarget);
         };
         cx.ledger.assert(cx.view.catalog().domains()[target.domain].in_service, Invariant::OutDomainSilent);
@@ -426,7 +426,7 @@
     fn try_elsewhere(&mut self, cx: &mut RequestCx<'_>, request: RequestId, reason: Reason) {
         let Some(entry) = self.entries.get_mut(&request) else { return };
         entry.exposed = false;
-        if entry.part == Part::Keeper {
+        if entry.part == Part::Coordinator {
             self.refuse(cx, request, Verdict::NotRun, reason);
         } else {
             self.counts.retries += 1;
@@ -439,7 +439,7 @@
         let Some(entry) = self.entries.get_mut(&request) else { return };
         entry.worst = Verdict::MayHaveRun;
         entry.exposed = false;
-        if entry.idempotent && entry.part != Part::Keeper && self.budget.spend() {
+        if entry.idempotent && entry.part != Part::Coordinator && self.budget.spend() {
             self.counts.retries += 1;
             return self.dispatch(cx, request);
         }
@@ -460,8 +460,8 @@
         match (entry.stage, result) {
             (Stage::AtIssuer, Ok(answer)) => self.answer(cx, request, answer),
             (Stage::AtIssuer, Err(refusal)) => self.refuse(cx, request, refusal.verdict, refusal.reason),
-            (Stage::AtKeeper(keeper), result) => {
-                self.routing.ended(cx.now, keeper, entry.group, free);
+            (Stage::AtCoordinator(coordinator), result) => {
+                self.routing.ended(cx.now, coordinator, entry.group, free);
                 match result {
                     Ok(answer) => self.answer(cx, request, answer),
                     Err(refusal) if refusal.verdict == Verdict::NotRun => {
@@ -480,8 +480,8 @@
         match entry.stage {
             // Earlier tries with the same ticket may have reached the issuer.
             Stage::AtIssuer => self.refuse(cx, request, Verdict::MayHaveRun, Reason::IssuerGone),
-            Stage::AtKeeper(keeper) => {
-                self.routing.ended(cx.now, keeper, entry.group, Some(0));
+            Stage::AtCoordinator(coordinator) => {
+                self.routing.ended(cx.now, coordinator, entry.group, Some(0));
                 if verdict == Verdict::NotRun {
                     self.try_elsewhere(cx, request, Reason::ConnectionBroken);
                 } else {
@@ -508,7 +508,7 @@
         if !self.is_current(request, attempt) {
             return self.drop_late(cx, Some(answer));
         }
-        cx.keeper.ended(cx.now, request, Evidence::Good);
+        cx.coordinator.ended(cx.now, request, Evidence::Good);
         self.answer(cx, request, answer);
         self.start_waiting(cx);
     }
@@ -525,7 +525,7 @@
             return;
         }
         let evidence = if refusal.reason == Reason::RefusedByTarget { Evidence::Shed } else { Evidence::Failed };
-        cx.keeper.ended(cx.now, request, evidence);
+        cx.coordinator.ended(cx.now, request, evidence);
         if refusal.verdict == Verdict::NotRun {
             self.try_elsewhere(cx, request, refusal.reason);
         } else {
@@ -536,7 +536,7 @@
 
     /// Runs requests that wait, as far as slots are free.
     pub fn start_waiting(&mut self, cx: &mut RequestCx<'_>) {
-        for (request, target) in cx.keeper.start_waiting(cx.now, cx.trust, cx.ledger) {
+        for (request, target) in cx.coordinator.start_waiting(cx.now, cx.trust, cx.ledger) {
             self.execute(cx, request, target);
         }
     }
@@ -581,7 +581,7 @@
             Stage::New | Stage::Fenced { with_ticket: false } => Verdict::NotRun,
             Stage::Fenced { with_ticket: true } => Verdict::MayHaveRun,
             Stage::Queued => {
-                cx.keeper.forget(request);
+                cx.coordinator.forget(request);
                 Verdict::NotRun
             }
             Stage::Waiting => {
@@ -592,13 +592,13 @@
                 cx.out.push(Output::Cancel { request });
                 Verdict::MayHaveRun
             }
-            Stage::AtKeeper(keeper) => {
-                self.routing.ended(cx.now, keeper, entry.group, None);
+            Stage::AtCoordinator(coordinator) => {
+                self.routing.ended(cx.now, coordinator, entry.group, None);
                 cx.out.push(Output::Cancel { request });
                 Verdict::MayHaveRun
             }
             Stage::Running => {
-                cx.keeper.ended(cx.now, request, Evidence::Nothing);
+                cx.coordinator.ended(cx.now, request, Evidence::Nothing);
                 cx.out.push(Output::Cancel { request });
                 Verdict::MayHaveRun
             }
--- a/crates/core/src/requests/outcome.rs
+++ b/crates/core/src/requests/outcome.rs
@@ -74,7 +74,7 @@
             cx.ledger.assert(!entry.exposed, Invariant::NotRunIsTrue);
         }
         let refusal = Refusal { verdict, reason };
-        if verdict == Verdict::MayHaveRun && !entry.idempotent && entry.part != Part::Keeper {
+        if verdict == Verdict::MayHaveRun && !entry.idempotent && entry.part != Part::Coordinator {
             cx.out.push(Output::Notice(Notice::OutcomeUnknown { service: entry.service, reason }));
         }
         self.reply_refusal_for(cx, request, &entry, refusal);
@@ -142,5 +142,5 @@
 
 /// Returns what a keeper tells the owner of a request about its free slots.
 fn free_for(cx: &RequestCx<'_>, part: Part, group: GroupId) -> Option<u32> {
-    (part == Part::Keeper).then(|| cx.keeper.spare_slots(cx.now, group, cx.trust))
+    (part == Part::Coordinator).then(|| cx.coordinator.spare_slots(cx.now, group, cx.trust))
 }
--- a/crates/core/src/requests/routing.rs
+++ b/crates/core/src/requests/routing.rs
@@ -49,11 +49,14 @@
         self.own_domain = catalog.domain_index(own_domain);
         self.keepers.clear();
         for target in catalog.targets().filter(|target| !target.leaving) {
-            let Some(keeper) = view.keeper(target.id) else { continue };
+            let Some(coordinator) = view.coordinator(target.id) else { continue };
             let candidates = self.keepers.entry(target.group_id).or_default();
-            match candidates.iter_mut().find(|candidate| candidate.id == keeper && candidate.domain == target.domain) {
+            match candidates
+                .iter_mut()
+                .find(|candidate| candidate.id == coordinator && candidate.domain == target.domain)
+            {
                 Some(candidate) => candidate.slots += target.slots,
-                None => candidates.push(Candidate { id: keeper, domain: target.domain, slots: target.slots }),
+                None => candidates.push(Candidate { id: coordinator, domain: target.domain, slots: target.slots }),
             }
         }
     }
@@ -85,17 +88,17 @@
     }
 
     /// Notes that a request was passed to a keeper.
-    pub fn passed(&mut self, keeper: InstanceId, group: GroupId) {
-        *self.outstanding.entry((keeper, group)).or_default() += 1;
+    pub fn passed(&mut self, coordinator: InstanceId, group: GroupId) {
+        *self.outstanding.entry((coordinator, group)).or_default() += 1;
     }
 
     /// Notes that a keeper has ended a passed request, and what it said of its free slots.
-    pub fn ended(&mut self, now: Timestamp, keeper: InstanceId, group: GroupId, free: Option<u32>) {
-        if let Some(count) = self.outstanding.get_mut(&(keeper, group)) {
+    pub fn ended(&mut self, now: Timestamp, coordinator: InstanceId, group: GroupId, free: Option<u32>) {
+        if let Some(count) = self.outstanding.get_mut(&(coordinator, group)) {
             *count = count.saturating_sub(1);
         }
         if let Some(free) = free {
-            self.hints.insert((keeper, group), Hint { free, at: now });
+            self.hints.insert((coordinator, group), Hint { free, at: now });
         }
     }
 }
--- a/crates/core/src/view.rs
+++ b/crates/core/src/view.rs
@@ -121,7 +121,7 @@
 
     /// Returns the one instance through which a target's requests pass.
     #[must_use]
-    pub fn keeper(&self, target: TargetId) -> Option<InstanceId> {
+    pub fn coordinator(&self, target: TargetId) -> Option<InstanceId> {
         let domain = self.catalog.target(target)?.domain;
         if !self.catalog.domains()[domain].in_service {
             return None;
--- a/crates/core/tests/targets.rs
+++ b/crates/core/tests/targets.rs
@@ -10,11 +10,11 @@
 
 use hawthornshift_core::Catalog;
 use hawthornshift_core::Tuning;
+use hawthornshift_core::coordinator::Admission;
+use hawthornshift_core::coordinator::TargetCoordinator;
 use hawthornshift_core::flows::table::FlowTable;
 use hawthornshift_core::flows::table::Holder;
 use hawthornshift_core::invariants::Ledger;
-use hawthornshift_core::keeper::Admission;
-use hawthornshift_core::keeper::Keeper;
 use hawthornshift_core::message::TargetNote;
 use hawthornshift_core::ramp::Ramp;
 use hawthornshift_core::view::Seat;
@@ -57,24 +57,27 @@
     let mut rng = SmallRng::seed_from_u64(1);
     let mut ledger = Ledger::default();
     let start = Duration::from_secs(10);
-    let mut keeper = Keeper::new(0, Tuning::default());
-    keeper.view_changed(start, &alone, &mut rng);
-    let mut admit = |keeper: &mut Keeper, now, request| {
-        keeper.admit(now, request, group, Class::Critical, Trust::Fresh, &mut ledger)
+    let mut coordinator = TargetCoordinator::new(0, Tuning::default());
+    coordinator.view_changed(start, &alone, &mut rng);
+    let mut admit = |coordinator: &mut TargetCoordinator, now, request| {
+        coordinator.admit(now, request, group, Class::Critical, Trust::Fresh, &mut ledger)
     };
-    assert_eq!(admit(&mut keeper, start, 1), Admission::Queued);
-    let released = keeper.kept(|id| id.to_string()).iter().find_map(|kept| {
+    assert_eq!(admit(&mut coordinator, start, 1), Admission::Queued);
+    let released = coordinator.kept(|id| id.to_string()).iter().find_map(|kept| {
         let id = kept.name.parse().ok()?;
         (catalog.target(id)?.group_id == group).then_some(id)
     });
-    keeper.released_by(start, 4, released.unwrap(), 1);
+    coordinator.released_by(start, 4, released.unwrap(), 1);
     let now = start + Duration::from_millis(10);
-    assert!(keeper.start_waiting(now, Trust::Fresh, &mut Ledger::default()).is_empty(), "the former still runs one");
-    keeper.released_by(now, 4, released.unwrap(), 0);
-    assert_eq!(keeper.start_waiting(now, Trust::Fresh, &mut Ledger::default()), [(1, released.unwrap())]);
-    assert_eq!(admit(&mut keeper, now, 2), Admission::Queued);
+    assert!(
+        coordinator.start_waiting(now, Trust::Fresh, &mut Ledger::default()).is_empty(),
+        "the former still runs one"
+    );
+    coordinator.released_by(now, 4, released.unwrap(), 0);
+    assert_eq!(coordinator.start_waiting(now, Trust::Fresh, &mut Ledger::default()), [(1, released.unwrap())]);
+    assert_eq!(admit(&mut coordinator, now, 2), Admission::Queued);
     let later = start + Duration::from_secs(2);
-    assert_eq!(keeper.start_waiting(later, Trust::Fresh, &mut Ledger::default()).len(), 1);
+    assert_eq!(coordinator.start_waiting(later, Trust::Fresh, &mut Ledger::default()).len(), 1);
 }
 
 /// A flow ends and another starts at the same target at once. A late packet of the target for the first would reach
@@ -129,11 +132,11 @@
     let catalog = Arc::new(Catalog::new(Arc::new(CheckedSet::new(support::set()).unwrap())));
     let group = catalog.services().find(|service| service.name == "suscripciones").unwrap().group_id;
     let alone = View::new(Arc::clone(&catalog), [(Seat { id: 0, incarnation: 1 }, "norte")]);
-    let mut keeper = Keeper::new(0, Tuning::default());
+    let mut coordinator = TargetCoordinator::new(0, Tuning::default());
     let now = Duration::from_secs(10);
-    keeper.view_changed(now, &alone, &mut SmallRng::seed_from_u64(1));
+    coordinator.view_changed(now, &alone, &mut SmallRng::seed_from_u64(1));
     let mut ledger = Ledger::default();
-    let mut admit = |request, class| keeper.admit(now, request, group, class, Trust::Fresh, &mut ledger);
+    let mut admit = |request, class| coordinator.admit(now, request, group, class, Trust::Fresh, &mut ledger);
     let room = 14 * 2 * 4;
     for request in 0..room {
         assert_eq!(admit(request, Class::Bulk), Admission::Queued);
@@ -141,6 +144,6 @@
     assert_eq!(admit(room, Class::Bulk), Admission::Full);
     assert_eq!(admit(room + 1, Class::Critical), Admission::QueuedInsteadOf(room - 1));
     let later = now + Duration::from_secs(2);
-    let started = keeper.start_waiting(later, Trust::Fresh, &mut Ledger::default());
+    let started = coordinator.start_waiting(later, Trust::Fresh, &mut Ledger::default());
     assert_eq!(started.first().map(|(request, _)| *request), Some(room + 1));
 }
