--- a/crates/core/src/coordinator.rs
+++ b/crates/core/src/coordinator.rs
@@ -237,8 +237,8 @@
     }
 
     /// Returns the targets kept, as operators see them; `name` tells a target's name.
-    pub fn kept(&self, name: impl Fn(TargetId) -> String) -> Vec<KeptDump> {
-        let show = |(id, kept): (&TargetId, &Kept)| KeptDump {
+    pub fn kept(&self, name: impl Fn(TargetId) -> String) -> Vec<CoordinatedTargetDump> {
+        let show = |(id, kept): (&TargetId, &Kept)| CoordinatedTargetDump {
             name: name(*id),
             status: kept.status(),
             running: kept.running,
@@ -509,7 +509,7 @@
 /// A target that the node keeps.
 #[derive(Clone, Debug, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct KeptDump {
+pub struct CoordinatedTargetDump {
     /// Its name, after its group's.
     pub name: String,
     /// Its state.
--- a/crates/core/src/dump.rs
+++ b/crates/core/src/dump.rs
@@ -2,7 +2,7 @@
 
 use serde::Serialize;
 
-use crate::coordinator::KeptDump;
+use crate::coordinator::CoordinatedTargetDump;
 use crate::flows::FlowCounts;
 use crate::invariants::Breach;
 use crate::message::MemberUpdate;
@@ -48,7 +48,7 @@
     /// Bytes of answers it keeps for retries.
     pub answer_bytes: usize,
     /// The targets it keeps.
-    pub kept: Vec<KeptDump>,
+    pub kept: Vec<CoordinatedTargetDump>,
     /// Invariants that were broken; empty unless something is wrong with this program.
     pub breaches: Vec<Breach>,
 }
