--- a/crates/core/src/coordinator.rs
+++ b/crates/core/src/coordinator.rs
@@ -237,7 +237,7 @@
     }
 
     /// Returns the targets kept, as operators see them; `name` tells a target's name.
-    pub fn kept(&self, name: impl Fn(TargetId) -> String) -> Vec<CoordinatedTargetDump> {
+    pub fn targets(&self, name: impl Fn(TargetId) -> String) -> Vec<CoordinatedTargetDump> {
         let show = |(id, kept): (&TargetId, &Kept)| CoordinatedTargetDump {
             name: name(*id),
             status: kept.status(),
--- a/crates/core/src/node/state.rs
+++ b/crates/core/src/node/state.rs
@@ -45,7 +45,7 @@
             queued: self.coordinator.queued(),
             tickets_remembered: self.tickets.remembered(),
             answer_bytes: self.tickets.answer_bytes(),
-            kept: self.coordinator.kept(name),
+            kept: self.coordinator.targets(name),
             breaches: self.ledger.breaches(),
         }
     }
--- a/crates/core/tests/targets.rs
+++ b/crates/core/tests/targets.rs
@@ -63,7 +63,7 @@
         coordinator.admit(now, request, group, Class::Critical, Trust::Fresh, &mut ledger)
     };
     assert_eq!(admit(&mut coordinator, start, 1), Admission::Queued);
-    let released = coordinator.kept(|id| id.to_string()).iter().find_map(|kept| {
+    let released = coordinator.targets(|id| id.to_string()).iter().find_map(|kept| {
         let id = kept.name.parse().ok()?;
         (catalog.target(id)?.group_id == group).then_some(id)
     });
