--- a/crates/core/src/coordinator.rs
+++ b/crates/core/src/coordinator.rs
@@ -47,15 +47,15 @@
 
 /// How a try at a target ended, as far as it tells of the target's state.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Evidence {
+pub enum AttemptOutcome {
     /// It answered whole.
-    Good,
+    Success,
     /// It refused for lack of capacity.
     Shed,
     /// It could not be reached, or broke off.
     Failed,
     /// The try was given up for reasons of our own.
-    Nothing,
+    Cancelled,
 }
 
 /// What a former keeper has said.
@@ -418,7 +418,7 @@
     }
 
     /// Notes that a request no longer runs, and what that tells of the target.
-    pub fn ended(&mut self, now: Timestamp, request: RequestId, evidence: Evidence) {
+    pub fn ended(&mut self, now: Timestamp, request: RequestId, evidence: AttemptOutcome) {
         let Some(id) = self.running.remove(&request) else { return };
         if let Some(running) = self.released.get_mut(&id) {
             *running = running.saturating_sub(1);
@@ -428,19 +428,19 @@
         let Some(kept) = self.kept.get_mut(&id) else { return };
         kept.running = kept.running.saturating_sub(1);
         match evidence {
-            Evidence::Good => {
+            AttemptOutcome::Success => {
                 kept.failures = 0;
                 kept.down = false;
                 kept.last_good = Some(now);
                 kept.ramp.prove(kept.caution());
             }
-            Evidence::Shed => kept.ramp.restart(),
-            Evidence::Failed => {
+            AttemptOutcome::Shed => kept.ramp.restart(),
+            AttemptOutcome::Failed => {
                 kept.ramp.restart();
                 kept.failures += 1;
                 kept.down = kept.failures >= FAILURES_TO_DOWN;
             }
-            Evidence::Nothing => {}
+            AttemptOutcome::Cancelled => {}
         }
     }
 
--- a/crates/core/src/requests/mod.rs
+++ b/crates/core/src/requests/mod.rs
@@ -28,7 +28,7 @@
 use crate::Timestamp;
 use crate::catalog::GroupId;
 use crate::coordinator::Admission;
-use crate::coordinator::Evidence;
+use crate::coordinator::AttemptOutcome;
 use crate::coordinator::TargetCoordinator;
 use crate::event::AnswerNote;
 use crate::event::AttemptNumber;
@@ -404,11 +404,11 @@
 
     fn execute(&mut self, cx: &mut RequestCx<'_>, request: RequestId, target: TargetId) {
         let Some(entry) = self.entries.get_mut(&request) else {
-            cx.coordinator.ended(cx.now, request, Evidence::Nothing);
+            cx.coordinator.ended(cx.now, request, AttemptOutcome::Cancelled);
             return;
         };
         let Some(target) = cx.view.catalog().target(target) else {
-            cx.coordinator.ended(cx.now, request, Evidence::Nothing);
+            cx.coordinator.ended(cx.now, request, AttemptOutcome::Cancelled);
             return self.try_elsewhere(cx, request, Reason::NoTarget);
         };
         cx.ledger.assert(cx.view.catalog().domains()[target.domain].in_service, Invariant::OutDomainSilent);
@@ -508,7 +508,7 @@
         if !self.is_current(request, attempt) {
             return self.drop_late(cx, Some(answer));
         }
-        cx.coordinator.ended(cx.now, request, Evidence::Good);
+        cx.coordinator.ended(cx.now, request, AttemptOutcome::Success);
         self.answer(cx, request, answer);
         self.start_waiting(cx);
     }
@@ -524,7 +524,8 @@
         if !self.is_current(request, attempt) {
             return;
         }
-        let evidence = if refusal.reason == Reason::RefusedByTarget { Evidence::Shed } else { Evidence::Failed };
+        let evidence =
+            if refusal.reason == Reason::RefusedByTarget { AttemptOutcome::Shed } else { AttemptOutcome::Failed };
         cx.coordinator.ended(cx.now, request, evidence);
         if refusal.verdict == Verdict::NotRun {
             self.try_elsewhere(cx, request, refusal.reason);
@@ -598,7 +599,7 @@
                 Verdict::MayHaveRun
             }
             Stage::Running => {
-                cx.coordinator.ended(cx.now, request, Evidence::Nothing);
+                cx.coordinator.ended(cx.now, request, AttemptOutcome::Cancelled);
                 cx.out.push(Output::Cancel { request });
                 Verdict::MayHaveRun
             }
