--- a/crates/core/src/coordinator.rs
+++ b/crates/core/src/coordinator.rs
@@ -418,7 +418,7 @@
     }
 
     /// Notes that a request no longer runs, and what that tells of the target.
-    pub fn ended(&mut self, now: Timestamp, request: RequestId, evidence: AttemptOutcome) {
+    pub fn attempt_ended(&mut self, now: Timestamp, request: RequestId, evidence: AttemptOutcome) {
         let Some(id) = self.running.remove(&request) else { return };
         if let Some(running) = self.released.get_mut(&id) {
             *running = running.saturating_sub(1);
--- a/crates/core/src/requests/mod.rs
+++ b/crates/core/src/requests/mod.rs
@@ -404,11 +404,11 @@
 
     fn execute(&mut self, cx: &mut RequestCx<'_>, request: RequestId, target: TargetId) {
         let Some(entry) = self.entries.get_mut(&request) else {
-            cx.coordinator.ended(cx.now, request, AttemptOutcome::Cancelled);
+            cx.coordinator.attempt_ended(cx.now, request, AttemptOutcome::Cancelled);
             return;
         };
         let Some(target) = cx.view.catalog().target(target) else {
-            cx.coordinator.ended(cx.now, request, AttemptOutcome::Cancelled);
+            cx.coordinator.attempt_ended(cx.now, request, AttemptOutcome::Cancelled);
             return self.try_elsewhere(cx, request, Reason::NoTarget);
         };
         cx.ledger.assert(cx.view.catalog().domains()[target.domain].in_service, Invariant::OutDomainSilent);
@@ -508,7 +508,7 @@
         if !self.is_current(request, attempt) {
             return self.drop_late(cx, Some(answer));
         }
-        cx.coordinator.ended(cx.now, request, AttemptOutcome::Success);
+        cx.coordinator.attempt_ended(cx.now, request, AttemptOutcome::Success);
         self.answer(cx, request, answer);
         self.start_waiting(cx);
     }
@@ -526,7 +526,7 @@
         }
         let evidence =
             if refusal.reason == Reason::RefusedByTarget { AttemptOutcome::Shed } else { AttemptOutcome::Failed };
-        cx.coordinator.ended(cx.now, request, evidence);
+        cx.coordinator.attempt_ended(cx.now, request, evidence);
         if refusal.verdict == Verdict::NotRun {
             self.try_elsewhere(cx, request, refusal.reason);
         } else {
@@ -599,7 +599,7 @@
                 Verdict::MayHaveRun
             }
             Stage::Running => {
-                cx.coordinator.ended(cx.now, request, AttemptOutcome::Cancelled);
+                cx.coordinator.attempt_ended(cx.now, request, AttemptOutcome::Cancelled);
                 cx.out.push(Output::Cancel { request });
                 Verdict::MayHaveRun
             }
