--- a/crates/core/src/coordinator.rs
+++ b/crates/core/src/coordinator.rs
@@ -413,7 +413,7 @@
     }
 
     /// Takes a request out of its queue.
-    pub fn forget(&mut self, request: RequestId) {
+    pub fn remove_queued(&mut self, request: RequestId) {
         self.queues.values_mut().for_each(|queue| queue.remove(request));
     }
 
--- a/crates/core/src/requests/mod.rs
+++ b/crates/core/src/requests/mod.rs
@@ -582,7 +582,7 @@
             Stage::New | Stage::Fenced { with_ticket: false } => Verdict::NotRun,
             Stage::Fenced { with_ticket: true } => Verdict::MayHaveRun,
             Stage::Queued => {
-                cx.coordinator.forget(request);
+                cx.coordinator.remove_queued(request);
                 Verdict::NotRun
             }
             Stage::Waiting => {
