--- a/crates/core/src/coordinator.rs
+++ b/crates/core/src/coordinator.rs
@@ -365,7 +365,7 @@
     }
 
     /// Gives free slots to requests that wait; returns those that run now.
-    pub fn start_waiting(&mut self, now: Timestamp, trust: Trust, ledger: &mut Ledger) -> Vec<(RequestId, TargetId)> {
+    pub fn start_queued(&mut self, now: Timestamp, trust: Trust, ledger: &mut Ledger) -> Vec<(RequestId, TargetId)> {
         let mut started = Vec::new();
         let groups: Vec<GroupId> = self.queues.keys().copied().collect();
         for group in groups {
--- a/crates/core/src/node/messages.rs
+++ b/crates/core/src/node/messages.rs
@@ -58,7 +58,7 @@
             PeerMessage::CoordinatorRelease { target, running } => {
                 self.coordinator.released_by(now, from, target, running);
                 let (requests, mut cx) = self.request_cx(now, out);
-                requests.start_waiting(&mut cx);
+                requests.start_queued(&mut cx);
             }
             PeerMessage::LastWordsRequest => {
                 let words: Vec<PeerMessage> = self.tickets.last_words().collect();
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -374,7 +374,7 @@
     fn probed(&mut self, now: Timestamp, target: TargetId, report: Option<HealthReport>, out: &mut Vec<Output>) {
         self.coordinator.probed(now, target, report);
         let (requests, mut cx) = self.request_cx(now, out);
-        requests.start_waiting(&mut cx);
+        requests.start_queued(&mut cx);
     }
 
     fn stream_opened(&mut self, now: Timestamp, stream: StreamId, key: FlowKey, out: &mut Vec<Output>) {
--- a/crates/core/src/requests/mod.rs
+++ b/crates/core/src/requests/mod.rs
@@ -247,7 +247,7 @@
         for (request, ticket) in std::mem::take(&mut self.fenced) {
             self.begin(cx, request, ticket.as_deref());
         }
-        self.start_waiting(cx);
+        self.start_queued(cx);
     }
 
     /// Takes a request from another instance.
@@ -510,7 +510,7 @@
         }
         cx.coordinator.attempt_ended(cx.now, request, AttemptOutcome::Success);
         self.answer(cx, request, answer);
-        self.start_waiting(cx);
+        self.start_queued(cx);
     }
 
     /// Takes the failure of a try at a target.
@@ -532,12 +532,12 @@
         } else {
             self.may_have_run(cx, request, refusal.reason);
         }
-        self.start_waiting(cx);
+        self.start_queued(cx);
     }
 
     /// Runs requests that wait, as far as slots are free.
-    pub fn start_waiting(&mut self, cx: &mut RequestCx<'_>) {
-        for (request, target) in cx.coordinator.start_waiting(cx.now, cx.trust, cx.ledger) {
+    pub fn start_queued(&mut self, cx: &mut RequestCx<'_>) {
+        for (request, target) in cx.coordinator.start_queued(cx.now, cx.trust, cx.ledger) {
             self.execute(cx, request, target);
         }
     }
@@ -560,7 +560,7 @@
         }
         let verdict = self.give_up(cx, request);
         self.refuse(cx, request, verdict, Reason::CallerGone);
-        self.start_waiting(cx);
+        self.start_queued(cx);
     }
 
     /// Ends requests whose deadline is over.
@@ -572,7 +572,7 @@
             let verdict = self.give_up(cx, request);
             self.refuse(cx, request, verdict, Reason::DeadlineExceeded);
         }
-        self.start_waiting(cx);
+        self.start_queued(cx);
     }
 
     /// Takes a request away from wherever it is; returns whether it may have run there.
--- a/crates/core/tests/targets.rs
+++ b/crates/core/tests/targets.rs
@@ -70,14 +70,14 @@
     coordinator.released_by(start, 4, released.unwrap(), 1);
     let now = start + Duration::from_millis(10);
     assert!(
-        coordinator.start_waiting(now, Trust::Fresh, &mut Ledger::default()).is_empty(),
+        coordinator.start_queued(now, Trust::Fresh, &mut Ledger::default()).is_empty(),
         "the former still runs one"
     );
     coordinator.released_by(now, 4, released.unwrap(), 0);
-    assert_eq!(coordinator.start_waiting(now, Trust::Fresh, &mut Ledger::default()), [(1, released.unwrap())]);
+    assert_eq!(coordinator.start_queued(now, Trust::Fresh, &mut Ledger::default()), [(1, released.unwrap())]);
     assert_eq!(admit(&mut coordinator, now, 2), Admission::Queued);
     let later = start + Duration::from_secs(2);
-    assert_eq!(coordinator.start_waiting(later, Trust::Fresh, &mut Ledger::default()).len(), 1);
+    assert_eq!(coordinator.start_queued(later, Trust::Fresh, &mut Ledger::default()).len(), 1);
 }
 
 /// A flow ends and another starts at the same target at once. A late packet of the target for the first would reach
@@ -144,6 +144,6 @@
     assert_eq!(admit(room, Class::Bulk), Admission::Full);
     assert_eq!(admit(room + 1, Class::Critical), Admission::QueuedInsteadOf(room - 1));
     let later = now + Duration::from_secs(2);
-    let started = coordinator.start_waiting(later, Trust::Fresh, &mut Ledger::default());
+    let started = coordinator.start_queued(later, Trust::Fresh, &mut Ledger::default());
     assert_eq!(started.first().map(|(request, _)| *request), Some(room + 1));
 }
