--- a/crates/core/src/coordinator.rs
+++ b/crates/core/src/coordinator.rs
@@ -445,7 +445,7 @@
     }
 
     /// Returns the targets whose health check is due.
-    pub fn due_probes(&mut self, now: Timestamp, rng: &mut SmallRng) -> Vec<TargetId> {
+    pub fn due_health_checks(&mut self, now: Timestamp, rng: &mut SmallRng) -> Vec<TargetId> {
         let due = self.kept.iter_mut().filter(|(_, kept)| now >= kept.next_probe);
         let schedule = |(id, kept): (&TargetId, &mut Kept)| {
             kept.next_probe = now + PROBE_PERIOD.mul_f64(rng.random_range(0.9..1.1));
@@ -458,7 +458,7 @@
     ///
     /// A report can lag or lie. It may slow a target down at once, but only answers to requests speed it up, and a
     /// failed check does not count against a target that has just answered.
-    pub fn probed(&mut self, now: Timestamp, target: TargetId, report: Option<HealthReport>) {
+    pub fn record_health_check(&mut self, now: Timestamp, target: TargetId, report: Option<HealthReport>) {
         let Some(kept) = self.kept.get_mut(&target) else { return };
         let answered = kept.last_good.is_some_and(|at| now.saturating_sub(at) < ANSWER_WEIGHT);
         let Some(report) = report else {
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -179,7 +179,7 @@
             }
             Input::Probed { target, report, load } => {
                 self.coordinator.note_load(target, load);
-                self.probed(now, target, report, out);
+                self.record_health_check(now, target, report, out);
             }
             Input::StreamOpened { stream, service, caller } => {
                 self.stream_opened(now, stream, FlowKey { service, caller }, out);
@@ -284,7 +284,7 @@
     }
 
     fn tick_probes(&mut self, now: Timestamp, out: &mut Vec<Output>) {
-        for id in self.coordinator.due_probes(now, &mut self.rng) {
+        for id in self.coordinator.due_health_checks(now, &mut self.rng) {
             if let Some(target) = self.view.catalog().target(id) {
                 out.push(Output::Probe { target: id, address: target.health });
             }
@@ -371,8 +371,14 @@
         self.send_releases(out);
     }
 
-    fn probed(&mut self, now: Timestamp, target: TargetId, report: Option<HealthReport>, out: &mut Vec<Output>) {
-        self.coordinator.probed(now, target, report);
+    fn record_health_check(
+        &mut self,
+        now: Timestamp,
+        target: TargetId,
+        report: Option<HealthReport>,
+        out: &mut Vec<Output>,
+    ) {
+        self.coordinator.record_health_check(now, target, report);
         let (requests, mut cx) = self.request_cx(now, out);
         requests.start_queued(&mut cx);
     }
