--- a/crates/core/src/coordinator.rs
+++ b/crates/core/src/coordinator.rs
@@ -483,7 +483,7 @@
     ///
     /// It is shown to operators beside this instance's own count, and decides nothing: it lags, and slots are counted
     /// here exactly. A lasting difference tells that someone else uses the target.
-    pub fn note_load(&mut self, target: TargetId, load: Option<u32>) {
+    pub fn record_reported_load(&mut self, target: TargetId, load: Option<u32>) {
         if let Some(kept) = self.kept.get_mut(&target) {
             kept.reported_load = load;
         }
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -178,7 +178,7 @@
                 self.platform.failed(now, resource, watches, &mut self.rng);
             }
             Input::Probed { target, report, load } => {
-                self.coordinator.note_load(target, load);
+                self.coordinator.record_reported_load(target, load);
                 self.record_health_check(now, target, report, out);
             }
             Input::StreamOpened { stream, service, caller } => {
