--- a/crates/core/src/coordinator.rs
+++ b/crates/core/src/coordinator.rs
@@ -490,7 +490,7 @@
     }
 
     /// Returns the states that have changed since the last call, or of all targets that are not warm.
-    pub fn news(&mut self, only_changed: bool) -> Vec<TargetStatusUpdate> {
+    pub fn status_updates(&mut self, only_changed: bool) -> Vec<TargetStatusUpdate> {
         let mut news = Vec::new();
         for (id, kept) in &mut self.kept {
             let status = kept.status();
--- a/crates/core/src/node/messages.rs
+++ b/crates/core/src/node/messages.rs
@@ -119,7 +119,7 @@
             set_digest: self.configuration.catalog().digest(),
             view: self.view.digest(),
             members,
-            targets: if near { self.coordinator.news(false) } else { Vec::new() },
+            targets: if near { self.coordinator.status_updates(false) } else { Vec::new() },
         }
     }
 
@@ -148,7 +148,7 @@
 
     /// Tells the instances of this failure domain what has changed about the targets kept here.
     pub(super) fn send_target_news(&mut self, out: &mut Vec<Output>) {
-        let news = self.coordinator.news(true);
+        let news = self.coordinator.status_updates(true);
         if news.is_empty() {
             return;
         }
