--- a/crates/core/benches/decisions.rs
+++ b/crates/core/benches/decisions.rs
@@ -22,7 +22,7 @@
 
 use hawthornshift_core::Catalog;
 use hawthornshift_core::Input;
-use hawthornshift_core::view::Seat;
+use hawthornshift_core::view::ServingInstance;
 use hawthornshift_core::view::View;
 use hawthornshift_model::CheckedSet;
 use hawthornshift_model::FlowKey;
@@ -60,7 +60,8 @@
     let catalog = Arc::new(Catalog::new(checked(480, 1)));
     let service = catalog.services().next().expect("the set has one");
     for instances in [8_u32, 64, 430] {
-        let seats = (0..instances).map(|id| (Seat { id, incarnation: 1 }, DOMAINS[id as usize % DOMAINS.len()]));
+        let seats =
+            (0..instances).map(|id| (ServingInstance { id, incarnation: 1 }, DOMAINS[id as usize % DOMAINS.len()]));
         let view = View::new(Arc::clone(&catalog), seats);
         let mut number = 0;
         group.bench_function(BenchmarkId::from_parameter(instances), |b| {
--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -29,7 +29,7 @@
 use crate::message::MemberUpdate;
 use crate::message::Sequence;
 use crate::tuning::Tuning;
-use crate::view::Seat;
+use crate::view::ServingInstance;
 use hawthornshift_model::Incarnation;
 use hawthornshift_model::InstanceId;
 
@@ -203,11 +203,12 @@
     }
 
     /// Returns the instances that serve, this one included, with their failure domains.
-    pub fn serving(&self) -> impl Iterator<Item = (Seat, &str)> {
+    pub fn serving(&self) -> impl Iterator<Item = (ServingInstance, &str)> {
         let serves = |update: &&MemberUpdate| matches!(update.state, MemberState::Alive | MemberState::Suspect);
         let all = std::iter::once(&self.me).chain(self.members());
-        all.filter(serves)
-            .map(|update| (Seat { id: update.id, incarnation: update.incarnation }, update.failure_domain.as_str()))
+        all.filter(serves).map(|update| {
+            (ServingInstance { id: update.id, incarnation: update.incarnation }, update.failure_domain.as_str())
+        })
     }
 
     /// Tells whether word from a peer is fresh enough to trust the view, or no peer is believed to live.
--- a/crates/core/src/view.rs
+++ b/crates/core/src/view.rs
@@ -18,7 +18,7 @@
 
 /// An instance that can be a home or a keeper.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub struct Seat {
+pub struct ServingInstance {
     /// The instance.
     pub id: InstanceId,
     /// Its life.
@@ -40,8 +40,8 @@
 #[derive(Clone, Debug, Default)]
 pub struct View {
     catalog: Arc<Catalog>,
-    by_domain: Vec<Vec<Seat>>,
-    everywhere: Vec<Seat>,
+    by_domain: Vec<Vec<ServingInstance>>,
+    everywhere: Vec<ServingInstance>,
     digest: u64,
 }
 
@@ -50,7 +50,7 @@
     ///
     /// Instances of a domain that is out of service, or that the set does not name, get no part in it.
     #[must_use]
-    pub fn new<'a>(catalog: Arc<Catalog>, serving: impl IntoIterator<Item = (Seat, &'a str)>) -> Self {
+    pub fn new<'a>(catalog: Arc<Catalog>, serving: impl IntoIterator<Item = (ServingInstance, &'a str)>) -> Self {
         let mut by_domain = vec![Vec::new(); catalog.domains().len()];
         let mut everywhere = Vec::new();
         for (seat, domain) in serving {
@@ -82,7 +82,7 @@
 
     /// Returns every instance that serves, sorted.
     #[must_use]
-    pub fn serving(&self) -> &[Seat] {
+    pub fn serving(&self) -> &[ServingInstance] {
         &self.everywhere
     }
 
@@ -94,7 +94,7 @@
 
     /// Returns the instances that stand for a failure domain: its own, or all others when it has none left.
     #[must_use]
-    pub fn seats(&self, domain: DomainIndex) -> &[Seat] {
+    pub fn seats(&self, domain: DomainIndex) -> &[ServingInstance] {
         match self.by_domain.get(domain) {
             Some(seats) if !seats.is_empty() => seats,
             _ => &self.everywhere,
@@ -134,7 +134,7 @@
     }
 }
 
-fn digest(catalog: &Catalog, seats: &[Seat]) -> u64 {
+fn digest(catalog: &Catalog, seats: &[ServingInstance]) -> u64 {
     let mut hasher = Xxh3::new();
     hasher.update(&catalog.revision().to_le_bytes());
     hasher.update(&catalog.digest().to_le_bytes());
--- a/crates/core/tests/targets.rs
+++ b/crates/core/tests/targets.rs
@@ -17,7 +17,7 @@
 use hawthornshift_core::invariants::Ledger;
 use hawthornshift_core::message::TargetNote;
 use hawthornshift_core::ramp::Ramp;
-use hawthornshift_core::view::Seat;
+use hawthornshift_core::view::ServingInstance;
 use hawthornshift_core::view::Trust;
 use hawthornshift_core::view::View;
 use hawthornshift_model::CheckedSet;
@@ -53,7 +53,7 @@
 fn a_new_keeper_gives_nothing_before_the_former_has_stopped() {
     let catalog = Arc::new(Catalog::new(Arc::new(CheckedSet::new(support::set()).unwrap())));
     let group = catalog.services().find(|service| service.name == "suscripciones").unwrap().group_id;
-    let alone = View::new(Arc::clone(&catalog), [(Seat { id: 0, incarnation: 1 }, "norte")]);
+    let alone = View::new(Arc::clone(&catalog), [(ServingInstance { id: 0, incarnation: 1 }, "norte")]);
     let mut rng = SmallRng::seed_from_u64(1);
     let mut ledger = Ledger::default();
     let start = Duration::from_secs(10);
@@ -131,7 +131,7 @@
 fn critical_requests_go_before_bulk_ones() {
     let catalog = Arc::new(Catalog::new(Arc::new(CheckedSet::new(support::set()).unwrap())));
     let group = catalog.services().find(|service| service.name == "suscripciones").unwrap().group_id;
-    let alone = View::new(Arc::clone(&catalog), [(Seat { id: 0, incarnation: 1 }, "norte")]);
+    let alone = View::new(Arc::clone(&catalog), [(ServingInstance { id: 0, incarnation: 1 }, "norte")]);
     let mut coordinator = TargetCoordinator::new(0, Tuning::default());
     let now = Duration::from_secs(10);
     coordinator.view_changed(now, &alone, &mut SmallRng::seed_from_u64(1));
