--- a/crates/core/src/flows/mod.rs
+++ b/crates/core/src/flows/mod.rs
@@ -397,7 +397,7 @@
         let catalog = cx.view.catalog();
         let domain = catalog.domain_of(hash, service)?;
         let members = &catalog.group(service.group).by_domain[domain];
-        let seats = u32::try_from(cx.view.seats(domain).len()).unwrap_or(1).max(1);
+        let seats = u32::try_from(cx.view.serving_for(domain).len()).unwrap_or(1).max(1);
         let targets = members.iter().filter_map(|id| catalog.target(*id)).filter(|target| !target.leaving);
         let mut ranked: Vec<_> = targets.map(|target| (rendezvous::score(hash, target.id), target)).collect();
         ranked.sort_unstable_by_key(|(score, target)| std::cmp::Reverse((*score, target.id)));
--- a/crates/core/src/platform.rs
+++ b/crates/core/src/platform.rs
@@ -66,7 +66,7 @@
         if !view.serves(me.id) {
             return true;
         }
-        let seats = view.seats(domain).iter().copied();
+        let seats = view.serving_for(domain).iter().copied();
         rendezvous::pick(WATCH_KEY, seats, |seat| u64::from(seat.id)).is_none_or(|seat| seat.id == me.id)
     }
 
--- a/crates/core/src/view.rs
+++ b/crates/core/src/view.rs
@@ -94,7 +94,7 @@
 
     /// Returns the instances that stand for a failure domain: its own, or all others when it has none left.
     #[must_use]
-    pub fn seats(&self, domain: DomainIndex) -> &[ServingInstance] {
+    pub fn serving_for(&self, domain: DomainIndex) -> &[ServingInstance] {
         match self.by_domain.get(domain) {
             Some(seats) if !seats.is_empty() => seats,
             _ => &self.everywhere,
@@ -112,7 +112,7 @@
     #[must_use]
     pub fn standby(&self, hash: u64, service: &ServiceEntry, home: InstanceId) -> Option<InstanceId> {
         let domain = self.catalog.domain_of(hash, service)?;
-        let seats = self.seats(domain);
+        let seats = self.serving_for(domain);
         // The last of its failure domain is followed by one of another.
         let seats = if seats.len() > 1 { seats } else { &self.everywhere };
         let others = seats.iter().copied().filter(|seat| seat.id != home);
@@ -130,7 +130,7 @@
     }
 
     fn rank_first(&self, key: u64, domain: DomainIndex) -> Option<InstanceId> {
-        rendezvous::pick(key, self.seats(domain).iter().copied(), |seat| u64::from(seat.id)).map(|seat| seat.id)
+        rendezvous::pick(key, self.serving_for(domain).iter().copied(), |seat| u64::from(seat.id)).map(|seat| seat.id)
     }
 }
 
