--- a/crates/core/src/coordinator.rs
+++ b/crates/core/src/coordinator.rs
@@ -28,7 +28,7 @@
 use crate::invariants::Ledger;
 use crate::ramp::Ramp;
 use crate::tuning::Tuning;
-use crate::view::Trust;
+use crate::view::LeaseState;
 use crate::view::View;
 use hawthornshift_model::Class;
 use hawthornshift_model::InstanceId;
@@ -118,12 +118,12 @@
     }
 
     /// Returns how many more requests the target can be given.
-    fn free(&self, now: Timestamp, trust: Trust) -> u32 {
-        if self.is_leaving() || self.down || now < self.hold_until || trust == Trust::None {
+    fn free(&self, now: Timestamp, lease_state: LeaseState) -> u32 {
+        if self.is_leaving() || self.down || now < self.hold_until || lease_state == LeaseState::Fenced {
             return 0;
         }
         // Cut off from every peer, another may keep the target too; a cold one would get the load of both.
-        if trust == Trust::Stale && !self.ramp.is_warm() {
+        if lease_state == LeaseState::Expired && !self.ramp.is_warm() {
             return 0;
         }
         self.ramp.limit().min(self.slots).saturating_sub(self.running + self.foreign(now))
@@ -339,12 +339,12 @@
         request: RequestId,
         group: GroupId,
         class: Class,
-        trust: Trust,
+        lease_state: LeaseState,
         ledger: &mut Ledger,
     ) -> Admission {
         let ahead = self.queues.get(&group).map_or(0, |queue| queue.ahead_of(class));
         if ahead == 0
-            && let Some(target) = self.start(now, request, group, trust, ledger)
+            && let Some(target) = self.start(now, request, group, lease_state, ledger)
         {
             return Admission::Run(target);
         }
@@ -365,13 +365,18 @@
     }
 
     /// Gives free slots to requests that wait; returns those that run now.
-    pub fn start_queued(&mut self, now: Timestamp, trust: Trust, ledger: &mut Ledger) -> Vec<(RequestId, TargetId)> {
+    pub fn start_queued(
+        &mut self,
+        now: Timestamp,
+        lease_state: LeaseState,
+        ledger: &mut Ledger,
+    ) -> Vec<(RequestId, TargetId)> {
         let mut started = Vec::new();
         let groups: Vec<GroupId> = self.queues.keys().copied().collect();
         for group in groups {
-            while self.free_slots(now, group, trust) > 0 {
+            while self.free_slots(now, group, lease_state) > 0 {
                 let Some(request) = self.queues.get_mut(&group).and_then(Queue::pop) else { break };
-                let Some(target) = self.start(now, request, group, trust, ledger) else { break };
+                let Some(target) = self.start(now, request, group, lease_state, ledger) else { break };
                 started.push((request, target));
             }
         }
@@ -384,11 +389,12 @@
         now: Timestamp,
         request: RequestId,
         group: GroupId,
-        trust: Trust,
+        lease_state: LeaseState,
         ledger: &mut Ledger,
     ) -> Option<TargetId> {
         let members = self.kept.iter_mut().filter(|(_, kept)| kept.group == group);
-        let with_free = members.map(|(id, kept)| (kept.free(now, trust), *id, kept)).filter(|(free, ..)| *free > 0);
+        let with_free =
+            members.map(|(id, kept)| (kept.free(now, lease_state), *id, kept)).filter(|(free, ..)| *free > 0);
         let (_, id, kept) = with_free.max_by_key(|(free, id, _)| (*free, *id))?;
         kept.running += 1;
         ledger.assert(!kept.is_leaving(), Invariant::LeavingTargetGetsNothing);
@@ -400,16 +406,16 @@
 
     /// Returns the free slots of the group's targets kept here.
     #[must_use]
-    pub fn free_slots(&self, now: Timestamp, group: GroupId, trust: Trust) -> u32 {
+    pub fn free_slots(&self, now: Timestamp, group: GroupId, lease_state: LeaseState) -> u32 {
         let members = self.kept.values().filter(|kept| kept.group == group);
-        members.map(|kept| kept.free(now, trust)).sum()
+        members.map(|kept| kept.free(now, lease_state)).sum()
     }
 
     /// Returns the free slots less the requests that already wait for them.
     #[must_use]
-    pub fn spare_slots(&self, now: Timestamp, group: GroupId, trust: Trust) -> u32 {
+    pub fn spare_slots(&self, now: Timestamp, group: GroupId, lease_state: LeaseState) -> u32 {
         let waiting = self.queues.get(&group).map_or(0, Queue::len);
-        self.free_slots(now, group, trust).saturating_sub(u32::try_from(waiting).unwrap_or(u32::MAX))
+        self.free_slots(now, group, lease_state).saturating_sub(u32::try_from(waiting).unwrap_or(u32::MAX))
     }
 
     /// Takes a request out of its queue.
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -45,7 +45,7 @@
 use crate::tickets::KEY_BYTES;
 use crate::tickets::Tickets;
 use crate::tuning::Tuning;
-use crate::view::Trust;
+use crate::view::LeaseState;
 use crate::view::View;
 use hawthornshift_model::CheckedSet;
 use hawthornshift_model::FlowKey;
@@ -216,20 +216,20 @@
         self.send_releases(out);
     }
 
-    fn trust(&self, now: Timestamp) -> Trust {
+    fn lease_state(&self, now: Timestamp) -> LeaseState {
         if self.fence.is_some() {
-            Trust::None
+            LeaseState::Fenced
         } else if self.membership.has_recent_contact(now) {
-            Trust::Fresh
+            LeaseState::Valid
         } else {
-            Trust::Stale
+            LeaseState::Expired
         }
     }
 
     fn request_cx<'a>(&'a mut self, now: Timestamp, out: &'a mut Vec<Output>) -> (&'a mut Requests, RequestCx<'a>) {
         let cx = RequestCx {
             now,
-            trust: self.trust(now),
+            lease_state: self.lease_state(now),
             closed: matches!(self.phase, Phase::Farewell { .. } | Phase::Stopped | Phase::Superseded),
             view: &self.view,
             members: &self.membership,
--- a/crates/core/src/requests/mod.rs
+++ b/crates/core/src/requests/mod.rs
@@ -47,7 +47,7 @@
 use crate::tickets::Serial;
 use crate::tickets::Ticket;
 use crate::tickets::Tickets;
-use crate::view::Trust;
+use crate::view::LeaseState;
 use crate::view::View;
 use hawthornshift_model::Class;
 use hawthornshift_model::InstanceId;
@@ -79,7 +79,7 @@
     /// Randomness.
     pub rng: &'a mut SmallRng,
     /// How far the view may be trusted.
-    pub trust: Trust,
+    pub lease_state: LeaseState,
     /// Whether no more tickets are issued, since this instance has said its last word.
     pub closed: bool,
     /// Where actions go.
@@ -228,7 +228,7 @@
     /// what it came for; the fence lifts within a fraction of a second.
     fn begin(&mut self, cx: &mut RequestCx<'_>, request: RequestId, ticket: Option<&str>) {
         let Some(entry) = self.entries.get_mut(&request) else { return };
-        if cx.trust == Trust::None && entry.part != Part::Coordinator {
+        if cx.lease_state == LeaseState::Fenced && entry.part != Part::Coordinator {
             entry.stage = Stage::Fenced { with_ticket: ticket.is_some() };
             self.fenced.push((request, ticket.map(str::to_owned)));
             return;
@@ -302,7 +302,7 @@
         };
         self.deadlines.insert((entry.deadline, request));
         self.entries.insert(request, entry);
-        if cx.trust == Trust::None && part == Part::Coordinator {
+        if cx.lease_state == LeaseState::Fenced && part == Part::Coordinator {
             self.refuse(cx, request, Verdict::NotRun, Reason::Fenced);
             return false;
         }
@@ -362,7 +362,7 @@
     fn dispatch(&mut self, cx: &mut RequestCx<'_>, request: RequestId) {
         let Some(entry) = self.entries.get_mut(&request) else { return };
         let me = cx.members.me().id;
-        let spare = cx.coordinator.spare_slots(cx.now, entry.group, cx.trust);
+        let spare = cx.coordinator.spare_slots(cx.now, entry.group, cx.lease_state);
         let choice = if entry.tried.len() < MAX_KEEPERS {
             self.routing.choose(cx.now, entry.group, &entry.tried, me, spare, cx.rng)
         } else {
@@ -389,7 +389,7 @@
     /// Gives a request a slot of a target kept here, or a place in the queue.
     fn keep(&mut self, cx: &mut RequestCx<'_>, request: RequestId) {
         let Some(entry) = self.entries.get_mut(&request) else { return };
-        let admission = cx.coordinator.admit(cx.now, request, entry.group, entry.class, cx.trust, cx.ledger);
+        let admission = cx.coordinator.admit(cx.now, request, entry.group, entry.class, cx.lease_state, cx.ledger);
         match admission {
             Admission::Run(target) => self.execute(cx, request, target),
             Admission::Queued => entry.stage = Stage::Queued,
@@ -537,7 +537,7 @@
 
     /// Runs requests that wait, as far as slots are free.
     pub fn start_queued(&mut self, cx: &mut RequestCx<'_>) {
-        for (request, target) in cx.coordinator.start_queued(cx.now, cx.trust, cx.ledger) {
+        for (request, target) in cx.coordinator.start_queued(cx.now, cx.lease_state, cx.ledger) {
             self.execute(cx, request, target);
         }
     }
--- a/crates/core/src/requests/outcome.rs
+++ b/crates/core/src/requests/outcome.rs
@@ -142,5 +142,5 @@
 
 /// Returns what a keeper tells the owner of a request about its free slots.
 fn free_for(cx: &RequestCx<'_>, part: Part, group: GroupId) -> Option<u32> {
-    (part == Part::Coordinator).then(|| cx.coordinator.spare_slots(cx.now, group, cx.trust))
+    (part == Part::Coordinator).then(|| cx.coordinator.spare_slots(cx.now, group, cx.lease_state))
 }
--- a/crates/core/src/view.rs
+++ b/crates/core/src/view.rs
@@ -27,13 +27,13 @@
 
 /// How far an instance may trust its view.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Trust {
+pub enum LeaseState {
     /// Peers have been heard of within the lease.
-    Fresh,
+    Valid,
     /// No peer has been heard of within the lease: others may act on another view.
-    Stale,
+    Expired,
     /// The instance was paused or has just started; nothing is decided on the view.
-    None,
+    Fenced,
 }
 
 /// The set in force and the instances that serve, by failure domain.
