--- a/crates/core/src/coordinator.rs
+++ b/crates/core/src/coordinator.rs
@@ -26,7 +26,7 @@
 use crate::health::TargetStatusUpdate;
 use crate::invariants::Invariant;
 use crate::invariants::Ledger;
-use crate::ramp::Ramp;
+use crate::slow_start::SlowStartLimit;
 use crate::tuning::Tuning;
 use crate::view::LeaseState;
 use crate::view::View;
@@ -76,7 +76,7 @@
     running: u32,
     foreign: BTreeMap<InstanceId, Foreign>,
     hold_until: Timestamp,
-    ramp: Ramp,
+    ramp: SlowStartLimit,
     down: bool,
     reported: Option<HealthReport>,
     reported_load: Option<u32>,
@@ -97,7 +97,7 @@
             foreign: BTreeMap::new(),
             hold_until,
             // Nobody can know whether a target new to this keeper is warm; a few answers will tell.
-            ramp: Ramp::cold(target.slots),
+            ramp: SlowStartLimit::cold(target.slots),
             down: false,
             reported: None,
             reported_load: None,
--- a/crates/core/src/flows/mod.rs
+++ b/crates/core/src/flows/mod.rs
@@ -48,8 +48,8 @@
 use crate::message::ForwardHead;
 use crate::message::Purpose;
 use crate::message::TargetNote;
-use crate::ramp::Ramp;
 use crate::rendezvous;
+use crate::slow_start::SlowStartLimit;
 use crate::tuning::Tuning;
 use crate::view::View;
 use hawthornshift_model::FlowKey;
@@ -134,7 +134,7 @@
     table: FlowTable,
     chain: Chain,
     telling: Telling,
-    ramps: BTreeMap<TargetId, Ramp>,
+    ramps: BTreeMap<TargetId, SlowStartLimit>,
     /// When this instance woke from a pause. Another may have taken over the flows that had no packet since.
     doubted: Option<Timestamp>,
     counts: FlowCounts,
@@ -408,13 +408,13 @@
     /// Tells whether a target can take one more flow from this instance.
     fn takes_flow(&mut self, now: Timestamp, target: &TargetEntry, seats: u32, health: &TargetStatusCache) -> bool {
         let share = (target.connections / seats).max(1);
-        let ramp = self.ramps.entry(target.id).or_insert_with(|| Ramp::warm(share));
+        let ramp = self.ramps.entry(target.id).or_insert_with(|| SlowStartLimit::warm(share));
         ramp.resize(share);
         match health.status(now, target.id) {
             Some(TargetStatus::Down | TargetStatus::Leaving) => return false,
             Some(TargetStatus::Cold) if ramp.is_warm() => ramp.restart(),
             Some(TargetStatus::Cold) => {}
-            Some(TargetStatus::Warm) | None => *ramp = Ramp::warm(share),
+            Some(TargetStatus::Warm) | None => *ramp = SlowStartLimit::warm(share),
         }
         let limit = ramp.limit();
         self.held_for(target.id) < limit
--- a/crates/core/src/ramp.rs
+++ b/crates/core/src/slow_start.rs
@@ -10,7 +10,7 @@
 /// A limit that rises from a first step to its full value.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct Ramp {
+pub struct SlowStartLimit {
     first: u32,
     limit: u32,
     full: u32,
@@ -25,7 +25,7 @@
 /// Part of the full limit that the first step allows.
 const FIRST_STEP_DIVISOR: u32 = 64;
 
-impl Ramp {
+impl SlowStartLimit {
     /// Returns a ramp at its first step.
     #[must_use]
     pub fn cold(full: u32) -> Self {
--- a/crates/core/tests/targets.rs
+++ b/crates/core/tests/targets.rs
@@ -16,7 +16,7 @@
 use hawthornshift_core::flows::table::Holder;
 use hawthornshift_core::invariants::Ledger;
 use hawthornshift_core::message::TargetNote;
-use hawthornshift_core::ramp::Ramp;
+use hawthornshift_core::slow_start::SlowStartLimit;
 use hawthornshift_core::view::LeaseState;
 use hawthornshift_core::view::ServingInstance;
 use hawthornshift_core::view::View;
@@ -29,7 +29,7 @@
 /// by good answers, and rise more slowly after each fall.
 #[test]
 fn a_cold_target_is_raised_by_answers_and_more_slowly_after_a_fall() {
-    let answers_to_warm = |ramp: &mut Ramp, caution: u32| {
+    let answers_to_warm = |ramp: &mut SlowStartLimit, caution: u32| {
         let mut answers = 0;
         while !ramp.is_warm() {
             ramp.prove(caution);
@@ -37,14 +37,14 @@
         }
         answers
     };
-    let mut ramp = Ramp::cold(2);
+    let mut ramp = SlowStartLimit::cold(2);
     assert_eq!(ramp.limit(), 1);
     assert_eq!(answers_to_warm(&mut ramp.clone(), 10), 60);
     assert_eq!(answers_to_warm(&mut ramp, 1), 6);
     ramp.restart();
     assert_eq!(ramp.limit(), 1);
     assert_eq!(answers_to_warm(&mut ramp, 1), 12);
-    assert_eq!(Ramp::cold(2_000).limit(), 31);
+    assert_eq!(SlowStartLimit::cold(2_000).limit(), 31);
 }
 
 /// A keeper dies or is paused with requests running at its target, and another takes its place. Were it to start at
