--- a/crates/core/src/coordinator.rs
+++ b/crates/core/src/coordinator.rs
@@ -438,7 +438,7 @@
                 kept.failures = 0;
                 kept.down = false;
                 kept.last_good = Some(now);
-                kept.ramp.prove(kept.caution());
+                kept.ramp.record_success(kept.caution());
             }
             AttemptOutcome::Shed => kept.ramp.restart(),
             AttemptOutcome::Failed => {
--- a/crates/core/src/flows/mod.rs
+++ b/crates/core/src/flows/mod.rs
@@ -433,7 +433,7 @@
         }
         let id = seat.note().id;
         if let Some(ramp) = self.ramps.get_mut(&id) {
-            ramp.prove(1);
+            ramp.record_success(1);
         }
         PacketFate::ToCaller { service: key.service, caller: key.caller }
     }
--- a/crates/core/src/slow_start.rs
+++ b/crates/core/src/slow_start.rs
@@ -53,13 +53,13 @@
 
     /// Notes a good answer and raises the limit when enough have come at this step.
     ///
-    /// `caution` multiplies the answers needed; it is one when nothing speaks against the next step.
-    pub fn prove(&mut self, caution: u32) {
+    /// `multiplier` multiplies the answers needed; it is one when nothing speaks against the next step.
+    pub fn record_success(&mut self, multiplier: u32) {
         if self.is_warm() {
             return;
         }
         self.proofs += 1;
-        let needed = self.limit.max(MIN_PROOFS).saturating_mul(caution << self.falls);
+        let needed = self.limit.max(MIN_PROOFS).saturating_mul(multiplier << self.falls);
         if self.proofs >= needed {
             self.limit = self.limit.saturating_mul(2).min(self.full);
             self.proofs = 0;
--- a/crates/core/tests/targets.rs
+++ b/crates/core/tests/targets.rs
@@ -32,7 +32,7 @@
     let answers_to_warm = |ramp: &mut SlowStartLimit, caution: u32| {
         let mut answers = 0;
         while !ramp.is_warm() {
-            ramp.prove(caution);
+            ramp.record_success(caution);
             answers += 1;
         }
         answers
