--- a/crates/core/src/flows/mod.rs
+++ b/crates/core/src/flows/mod.rs
@@ -64,7 +64,7 @@
 
 /// What the flow decisions look at besides their own state.
 #[derive(Clone, Copy)]
-pub struct Surroundings<'a> {
+pub struct FlowContext<'a> {
     /// The view in force.
     pub view: &'a View,
     /// The other instances.
@@ -196,7 +196,7 @@
         &mut self,
         now: Timestamp,
         key: FlowKey,
-        cx: Surroundings<'_>,
+        cx: FlowContext<'_>,
         ledger: &mut Ledger,
     ) -> PacketFate {
         let packet = Packet { now, key, from: None, hops_left: MAX_HOPS, purpose: Purpose::ToHome };
@@ -208,7 +208,7 @@
         &mut self,
         now: Timestamp,
         head: &ForwardHead,
-        cx: Surroundings<'_>,
+        cx: FlowContext<'_>,
         ledger: &mut Ledger,
     ) -> PacketFate {
         ledger.assert(head.hops_left <= MAX_HOPS, Invariant::ForwardingEnds);
@@ -218,7 +218,7 @@
         self.decide(packet, cx, ledger)
     }
 
-    fn decide(&mut self, packet: Packet, cx: Surroundings<'_>, ledger: &mut Ledger) -> PacketFate {
+    fn decide(&mut self, packet: Packet, cx: FlowContext<'_>, ledger: &mut Ledger) -> PacketFate {
         let fate = self.decide_unchecked(packet, cx, ledger);
         if let PacketFate::Forward { head, .. } = fate {
             ledger.assert(head.hops_left < packet.hops_left, Invariant::ForwardingEnds);
@@ -226,7 +226,7 @@
         fate
     }
 
-    fn decide_unchecked(&mut self, packet: Packet, cx: Surroundings<'_>, ledger: &mut Ledger) -> PacketFate {
+    fn decide_unchecked(&mut self, packet: Packet, cx: FlowContext<'_>, ledger: &mut Ledger) -> PacketFate {
         let Some(service) = cx.view.catalog().service(packet.key.service) else {
             return self.drop(DropReason::UnknownService);
         };
@@ -244,7 +244,7 @@
         &mut self,
         packet: Packet,
         found: Found,
-        cx: Surroundings<'_>,
+        cx: FlowContext<'_>,
         ledger: &mut Ledger,
     ) -> Option<PacketFate> {
         match found.holder {
@@ -262,7 +262,7 @@
         packet: Packet,
         seat: SeatIndex,
         channel: Channel,
-        cx: Surroundings<'_>,
+        cx: FlowContext<'_>,
         ledger: &mut Ledger,
     ) -> Option<PacketFate> {
         let seat = self.table.seat(seat);
@@ -281,7 +281,7 @@
     }
 
     /// Sends a packet on to the instance that holds its flow, or forgets a holder that is gone.
-    fn send_to_holder(&mut self, packet: Packet, holder: InstanceId, cx: Surroundings<'_>) -> Option<PacketFate> {
+    fn send_to_holder(&mut self, packet: Packet, holder: InstanceId, cx: FlowContext<'_>) -> Option<PacketFate> {
         if let (Purpose::Ask { position }, true) = (packet.purpose, packet.from == Some(holder)) {
             // The holder has woken from a pause and asks whether anyone else has taken the flow: nobody has.
             return self.forward(packet, holder, Purpose::Return { position }, cx);
@@ -299,7 +299,7 @@
         &mut self,
         packet: Packet,
         service: &ServiceEntry,
-        cx: Surroundings<'_>,
+        cx: FlowContext<'_>,
         ledger: &mut Ledger,
     ) -> PacketFate {
         let hash = packet.key.hash64();
@@ -324,7 +324,7 @@
     }
 
     /// Sends the packet of an unknown flow to the next earlier home that may hold it.
-    fn ask_earlier_home(&mut self, packet: Packet, hash: u64, cx: Surroundings<'_>) -> Option<PacketFate> {
+    fn ask_earlier_home(&mut self, packet: Packet, hash: u64, cx: FlowContext<'_>) -> Option<PacketFate> {
         // The answer needs a hop of its own.
         if packet.hops_left < 2 {
             return None;
@@ -338,13 +338,7 @@
         Some(fate)
     }
 
-    fn forward(
-        &mut self,
-        packet: Packet,
-        to: InstanceId,
-        purpose: Purpose,
-        cx: Surroundings<'_>,
-    ) -> Option<PacketFate> {
+    fn forward(&mut self, packet: Packet, to: InstanceId, purpose: Purpose, cx: FlowContext<'_>) -> Option<PacketFate> {
         let address = cx.members.member(to)?.forward;
         let hops_left = packet.hops_left.checked_sub(1)?;
         self.counts.forwarded += 1;
@@ -359,7 +353,7 @@
         packet: Packet,
         hash: u64,
         service: &ServiceEntry,
-        cx: Surroundings<'_>,
+        cx: FlowContext<'_>,
         ledger: &mut Ledger,
     ) -> PacketFate {
         let Some(target) = self.choose_target(packet.now, hash, service, cx) else {
@@ -377,7 +371,7 @@
     }
 
     /// Has a flow told to its home if that is another instance.
-    fn note_stray(&mut self, hash: u64, service: &ServiceEntry, cx: Surroundings<'_>) {
+    fn note_stray(&mut self, hash: u64, service: &ServiceEntry, cx: FlowContext<'_>) {
         if cx.view.home(hash, service) != Some(self.me) {
             self.telling.note_stray();
         }
@@ -392,7 +386,7 @@
         now: Timestamp,
         hash: u64,
         service: &ServiceEntry,
-        cx: Surroundings<'a>,
+        cx: FlowContext<'a>,
     ) -> Option<&'a TargetEntry> {
         let catalog = cx.view.catalog();
         let domain = catalog.domain_of(hash, service)?;
@@ -474,7 +468,7 @@
     /// Two instances can come to hold one flow: each side of a partition starts it, or a packet overtakes the word of
     /// where it is. Left alone, packets would go to one target or the other depending on where they enter, so one of
     /// the records has to go ([`crate::message::FlowNote::holds_over`]). The flow's home is told of both, and decides.
-    pub fn absorb(&mut self, now: Timestamp, from: InstanceId, batch: &FlowBatch, cx: Surroundings<'_>) -> Superseded {
+    pub fn absorb(&mut self, now: Timestamp, from: InstanceId, batch: &FlowBatch, cx: FlowContext<'_>) -> Superseded {
         let mut superseded = Superseded::default();
         for flow in &batch.flows {
             let key = FlowKey { service: batch.service, caller: flow.caller };
@@ -509,7 +503,7 @@
         }
     }
 
-    fn take_over(&mut self, now: Timestamp, key: FlowKey, age_ms: u32, target: &TargetNote, cx: Surroundings<'_>) {
+    fn take_over(&mut self, now: Timestamp, key: FlowKey, age_ms: u32, target: &TargetNote, cx: FlowContext<'_>) {
         if self.table.insert_here(now, key, target, age_ms).is_some() {
             self.counts.taken_over += 1;
         }
@@ -532,7 +526,7 @@
     }
 
     /// Does what is due: expiry, telling and handing over. Returns batches to send, each with its addressee.
-    pub fn tick(&mut self, now: Timestamp, cx: Surroundings<'_>) -> Vec<(InstanceId, FlowBatch)> {
+    pub fn tick(&mut self, now: Timestamp, cx: FlowContext<'_>) -> Vec<(InstanceId, FlowBatch)> {
         let catalog = cx.view.catalog();
         self.counts.expired += self.table.expire(now, |service| catalog.service(service).map(|entry| entry.idle));
         self.chain.expire(now);
@@ -558,7 +552,7 @@
 
 /// Tells whether packets may be forwarded to an instance: it can be reached, and its failure domain is not out, or
 /// has been for so short a time that its flows may still be handed over.
-fn may_get_packets(now: Timestamp, id: InstanceId, cx: Surroundings<'_>) -> bool {
+fn may_get_packets(now: Timestamp, id: InstanceId, cx: FlowContext<'_>) -> bool {
     let Some(update) = cx.members.member(id).filter(|update| update.state.is_reachable()) else { return false };
     let in_service = cx.view.catalog().domain_in_service(&update.failure_domain);
     in_service || now.saturating_sub(cx.adopted_at) < OUT_GRACE
--- a/crates/core/src/flows/telling.rs
+++ b/crates/core/src/flows/telling.rs
@@ -8,7 +8,7 @@
 
 use std::collections::BTreeMap;
 
-use super::Surroundings;
+use super::FlowContext;
 use super::table::FlowTable;
 use super::table::Held;
 use super::table::SeatIndex;
@@ -90,7 +90,7 @@
         now: Timestamp,
         me: InstanceId,
         table: &FlowTable,
-        cx: Surroundings<'_>,
+        cx: FlowContext<'_>,
     ) -> Vec<(InstanceId, FlowBatch)> {
         let due = self.dirty || (self.has_strays && now >= self.next_round);
         if due && self.is_idle() {
@@ -103,7 +103,7 @@
         news
     }
 
-    fn scan(&mut self, now: Timestamp, me: InstanceId, table: &FlowTable, cx: Surroundings<'_>) {
+    fn scan(&mut self, now: Timestamp, me: InstanceId, table: &FlowTable, cx: FlowContext<'_>) {
         let Some(start) = self.cursor else { return };
         if start == 0 {
             self.dirty = false;
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -30,8 +30,8 @@
 use crate::event::PlatformRead;
 use crate::event::Resource;
 use crate::event::StreamId;
+use crate::flows::FlowContext;
 use crate::flows::Flows;
-use crate::flows::Surroundings;
 use crate::health::TargetStatusCache;
 use crate::invariants::Ledger;
 use crate::membership::Identity;
@@ -398,8 +398,8 @@
     health: &'a TargetStatusCache,
     configuration: &Configuration,
     fence: Option<&Fence>,
-) -> Surroundings<'a> {
-    Surroundings { view, members, health, adopted_at: configuration.adopted_at(), fenced: fence.is_some() }
+) -> FlowContext<'a> {
+    FlowContext { view, members, health, adopted_at: configuration.adopted_at(), fenced: fence.is_some() }
 }
 
 fn connect_or_close(stream: StreamId, address: Option<SocketAddr>, out: &mut Vec<Output>) {
