--- a/crates/core/src/flows/telling.rs
+++ b/crates/core/src/flows/advertise.rs
@@ -44,7 +44,7 @@
 
 /// What is left to tell.
 #[derive(Clone, Debug, Default)]
-pub struct Telling {
+pub struct Advertiser {
     cursor: Option<usize>,
     backlog: Backlog,
     pending: BTreeMap<Sequence, Pending>,
@@ -56,7 +56,7 @@
     next_round: Timestamp,
 }
 
-impl Telling {
+impl Advertiser {
     /// Starts over, since the view has changed.
     pub fn restart(&mut self) {
         self.cursor = Some(0);
--- a/crates/core/src/flows/mod.rs
+++ b/crates/core/src/flows/mod.rs
@@ -7,7 +7,7 @@
 //!
 //! A target tells a flow by the address it comes from. Moving a record to another instance changes that address, and
 //! many targets would take the flow for a new one. So a home keeps its flows when a view changes and only tells the
-//! new home where they are ([`telling`]); it hands them over only when it stops or its domain is taken out.
+//! new home where they are ([`advertise`]); it hands them over only when it stops or its domain is taken out.
 //!
 //! # How packets find a flow while news travels
 //!
@@ -17,21 +17,21 @@
 //! packet out of hops whose flow is unknown starts a flow where it is, and that flow is told to its home like any
 //! other.
 
+pub mod advertise;
 pub mod chain;
 pub mod table;
-pub mod telling;
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 use serde::Serialize;
 
+use self::advertise::Advertiser;
 use self::chain::Chain;
 use self::table::FlowTable;
 use self::table::Found;
 use self::table::Holder;
 use self::table::SeatIndex;
-use self::telling::Telling;
 use crate::Timestamp;
 use crate::catalog::Catalog;
 use crate::catalog::ServiceEntry;
@@ -133,7 +133,7 @@
     me: InstanceId,
     table: FlowTable,
     chain: Chain,
-    telling: Telling,
+    advertiser: Advertiser,
     ramps: BTreeMap<TargetId, SlowStartLimit>,
     /// When this instance woke from a pause. Another may have taken over the flows that had no packet since.
     doubted: Option<Timestamp>,
@@ -148,7 +148,7 @@
             me,
             table: FlowTable::new(tuning.flow_capacity),
             chain: Chain::new(tuning.view_memory),
-            telling: Telling::default(),
+            advertiser: Advertiser::default(),
             ramps: BTreeMap::new(),
             doubted: None,
             counts: FlowCounts::default(),
@@ -182,7 +182,7 @@
     /// Tells whether nothing is left to tell or hand over.
     #[must_use]
     pub fn settled(&self) -> bool {
-        self.telling.is_done()
+        self.advertiser.is_done()
     }
 
     /// Returns the flows held here that go to a target.
@@ -373,7 +373,7 @@
     /// Has a flow told to its home if that is another instance.
     fn note_stray(&mut self, hash: u64, service: &ServiceEntry, cx: FlowContext<'_>) {
         if cx.view.home(hash, service) != Some(self.me) {
-            self.telling.note_stray();
+            self.advertiser.note_stray();
         }
     }
 
@@ -441,7 +441,7 @@
     pub fn view_changed(&mut self, now: Timestamp, former: View, catalog: &Catalog) {
         self.chain.remember(now, former);
         self.table.revalidate(catalog);
-        self.telling.restart();
+        self.advertiser.restart();
     }
 
     /// Takes note that this instance has found its place: whatever flows there are, the homes of the fleet without it
@@ -451,8 +451,8 @@
     }
 
     /// Has all flows told again: others counted this instance as dead, and have forgotten what it holds.
-    pub fn tell_again(&mut self) {
-        self.telling.restart();
+    pub fn readvertise(&mut self) {
+        self.advertiser.restart();
     }
 
     /// Takes note that this instance woke from a pause, during which the fleet without it may have taken over its
@@ -460,7 +460,7 @@
     pub fn woke(&mut self, now: Timestamp, before: View) {
         self.doubted = Some(now);
         self.chain.remember(now, before);
-        self.telling.restart();
+        self.advertiser.restart();
     }
 
     /// Takes over a batch of flows, or notes where they are; returns the records that have to go.
@@ -514,7 +514,7 @@
 
     /// Notes that a batch has arrived; flows handed over, or superseded by an elder record, are no longer held here.
     pub fn batch_acknowledged(&mut self, now: Timestamp, sequence: u64, superseded: &[SocketAddr]) {
-        let Some(batch) = self.telling.acknowledged(sequence) else { return };
+        let Some(batch) = self.advertiser.acknowledged(sequence) else { return };
         for flow in &batch.flows {
             let lost = superseded.contains(&flow.caller);
             self.counts.handed_over += u64::from(batch.handover && !lost);
@@ -533,7 +533,7 @@
         if self.chain.is_empty() {
             self.doubted = None;
         }
-        self.telling.tick(now, self.me, &self.table, cx)
+        self.advertiser.tick(now, self.me, &self.table, cx)
     }
 }
 
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -345,7 +345,7 @@
             out.push(Output::Superseded);
         }
         if self.membership.take_declared_dead() {
-            self.flows.tell_again();
+            self.flows.readvertise();
         }
         let changes = self.membership.take_changes();
         if changes.is_empty() {
