--- a/crates/core/src/flows/mod.rs
+++ b/crates/core/src/flows/mod.rs
@@ -468,7 +468,13 @@
     /// Two instances can come to hold one flow: each side of a partition starts it, or a packet overtakes the word of
     /// where it is. Left alone, packets would go to one target or the other depending on where they enter, so one of
     /// the records has to go ([`crate::message::FlowNote::holds_over`]). The flow's home is told of both, and decides.
-    pub fn absorb(&mut self, now: Timestamp, from: InstanceId, batch: &FlowBatch, cx: FlowContext<'_>) -> Superseded {
+    pub fn apply_batch(
+        &mut self,
+        now: Timestamp,
+        from: InstanceId,
+        batch: &FlowBatch,
+        cx: FlowContext<'_>,
+    ) -> Superseded {
         let mut superseded = Superseded::default();
         for flow in &batch.flows {
             let key = FlowKey { service: batch.service, caller: flow.caller };
--- a/crates/core/src/node/messages.rs
+++ b/crates/core/src/node/messages.rs
@@ -75,7 +75,7 @@
     pub(super) fn flow_batch(&mut self, now: Timestamp, from: InstanceId, batch: &FlowBatch, out: &mut Vec<Output>) {
         let Self { flows, view, membership, health, configuration, fence, .. } = self;
         let cx = surroundings(view, membership, health, configuration, fence.as_ref());
-        let Superseded { senders, others } = flows.absorb(now, from, batch, cx);
+        let Superseded { senders, others } = flows.apply_batch(now, from, batch, cx);
         let FlowBatch { sequence, service, .. } = *batch;
         self.send(from, PeerMessage::FlowBatchAck { sequence, superseded: senders }, out);
         for (to, callers) in others {
