--- a/crates/core/src/node/fence.rs
+++ b/crates/core/src/node/fence.rs
@@ -60,7 +60,7 @@
         let joining = self.fence.is_some_and(|fence| fence.joining);
         let first_sequence = self.membership.next_sequence();
         self.fence = Some(Fence { first_sequence, until: now + FENCE_LIMIT, next_refresh: now, joining });
-        self.platform.hurry(now);
+        self.platform.read_all_now(now);
         self.tick_fence(now, out);
     }
 
--- a/crates/core/src/platform.rs
+++ b/crates/core/src/platform.rs
@@ -113,7 +113,7 @@
     }
 
     /// Makes all reads due at once.
-    pub fn hurry(&mut self, now: Timestamp) {
+    pub fn read_all_now(&mut self, now: Timestamp) {
         self.schedules.values_mut().for_each(|schedule| schedule.next = now);
     }
 }
