--- a/crates/core/src/configuration.rs
+++ b/crates/core/src/configuration.rs
@@ -10,7 +10,7 @@
 use crate::Timestamp;
 use crate::catalog::Catalog;
 use crate::invariants::Invariant;
-use crate::invariants::Ledger;
+use crate::invariants::InvariantCounters;
 use hawthornshift_model::CheckedSet;
 use hawthornshift_model::Revision;
 
@@ -39,14 +39,19 @@
 
 impl Configuration {
     /// Offers a set, which comes into force if it is later than the present one.
-    pub fn offer(&mut self, now: Timestamp, set: Arc<CheckedSet>, ledger: &mut Ledger) -> Adoption {
+    pub fn offer(
+        &mut self,
+        now: Timestamp,
+        set: Arc<CheckedSet>,
+        invariant_counters: &mut InvariantCounters,
+    ) -> Adoption {
         let revision = set.set().revision;
         if revision < self.revision() {
             self.stale += 1;
             return Adoption::Stale;
         }
         if revision > self.revision() {
-            self.adopt(now, set, ledger);
+            self.adopt(now, set, invariant_counters);
             return Adoption::Adopted;
         }
         let digest = set.digest();
@@ -55,16 +60,16 @@
         }
         self.clashes += 1;
         if digest > self.catalog.digest() {
-            self.adopt(now, set, ledger);
+            self.adopt(now, set, invariant_counters);
         }
         Adoption::Clash
     }
 
-    fn adopt(&mut self, now: Timestamp, set: Arc<CheckedSet>, ledger: &mut Ledger) {
+    fn adopt(&mut self, now: Timestamp, set: Arc<CheckedSet>, invariant_counters: &mut InvariantCounters) {
         let before = self.revision();
         self.catalog = Arc::new(Catalog::new(set));
         self.adopted_at = now;
-        ledger.assert(self.revision() >= before, Invariant::RevisionNeverFalls);
+        invariant_counters.assert(self.revision() >= before, Invariant::RevisionNeverFalls);
     }
 
     /// Counts a set that failed the check.
--- a/crates/core/src/coordinator.rs
+++ b/crates/core/src/coordinator.rs
@@ -25,7 +25,7 @@
 use crate::health::TargetStatus;
 use crate::health::TargetStatusUpdate;
 use crate::invariants::Invariant;
-use crate::invariants::Ledger;
+use crate::invariants::InvariantCounters;
 use crate::slow_start::SlowStartLimit;
 use crate::tuning::Tuning;
 use crate::view::LeaseState;
@@ -340,11 +340,11 @@
         group: GroupId,
         class: Class,
         lease_state: LeaseState,
-        ledger: &mut Ledger,
+        invariant_counters: &mut InvariantCounters,
     ) -> Admission {
         let ahead = self.queues.get(&group).map_or(0, |queue| queue.ahead_of(class));
         if ahead == 0
-            && let Some(target) = self.start(now, request, group, lease_state, ledger)
+            && let Some(target) = self.start(now, request, group, lease_state, invariant_counters)
         {
             return Admission::Run(target);
         }
@@ -369,14 +369,14 @@
         &mut self,
         now: Timestamp,
         lease_state: LeaseState,
-        ledger: &mut Ledger,
+        invariant_counters: &mut InvariantCounters,
     ) -> Vec<(RequestId, TargetId)> {
         let mut started = Vec::new();
         let groups: Vec<GroupId> = self.queues.keys().copied().collect();
         for group in groups {
             while self.free_slots(now, group, lease_state) > 0 {
                 let Some(request) = self.queues.get_mut(&group).and_then(Queue::pop) else { break };
-                let Some(target) = self.start(now, request, group, lease_state, ledger) else { break };
+                let Some(target) = self.start(now, request, group, lease_state, invariant_counters) else { break };
                 started.push((request, target));
             }
         }
@@ -390,16 +390,16 @@
         request: RequestId,
         group: GroupId,
         lease_state: LeaseState,
-        ledger: &mut Ledger,
+        invariant_counters: &mut InvariantCounters,
     ) -> Option<TargetId> {
         let members = self.kept.iter_mut().filter(|(_, kept)| kept.group == group);
         let with_free =
             members.map(|(id, kept)| (kept.free(now, lease_state), *id, kept)).filter(|(free, ..)| *free > 0);
         let (_, id, kept) = with_free.max_by_key(|(free, id, _)| (*free, *id))?;
         kept.running += 1;
-        ledger.assert(!kept.is_leaving(), Invariant::LeavingTargetGetsNothing);
-        ledger.assert(kept.running <= kept.slots, Invariant::SlotsWithinLimit);
-        ledger.assert(kept.running <= kept.ramp.limit(), Invariant::ColdTargetWithinRamp);
+        invariant_counters.assert(!kept.is_leaving(), Invariant::LeavingTargetGetsNothing);
+        invariant_counters.assert(kept.running <= kept.slots, Invariant::SlotsWithinLimit);
+        invariant_counters.assert(kept.running <= kept.ramp.limit(), Invariant::ColdTargetWithinRamp);
         self.running.insert(request, id);
         Some(id)
     }
--- a/crates/core/src/flows/mod.rs
+++ b/crates/core/src/flows/mod.rs
@@ -42,7 +42,7 @@
 use crate::health::TargetStatus;
 use crate::health::TargetStatusCache;
 use crate::invariants::Invariant;
-use crate::invariants::Ledger;
+use crate::invariants::InvariantCounters;
 use crate::membership::Membership;
 use crate::message::FlowBatch;
 use crate::message::ForwardHead;
@@ -197,10 +197,10 @@
         now: Timestamp,
         key: FlowKey,
         cx: FlowContext<'_>,
-        ledger: &mut Ledger,
+        invariant_counters: &mut InvariantCounters,
     ) -> PacketFate {
         let packet = Packet { now, key, from: None, hops_left: MAX_HOPS, purpose: Purpose::ToHome };
-        self.decide(packet, cx, ledger)
+        self.decide(packet, cx, invariant_counters)
     }
 
     /// Decides on a packet from another instance.
@@ -209,24 +209,34 @@
         now: Timestamp,
         head: &ForwardHead,
         cx: FlowContext<'_>,
-        ledger: &mut Ledger,
+        invariant_counters: &mut InvariantCounters,
     ) -> PacketFate {
-        ledger.assert(head.hops_left <= MAX_HOPS, Invariant::ForwardingEnds);
+        invariant_counters.assert(head.hops_left <= MAX_HOPS, Invariant::ForwardingEnds);
         let key = FlowKey { service: head.service, caller: head.caller };
         let ForwardHead { from, purpose, .. } = *head;
         let packet = Packet { now, key, from: Some(from), hops_left: head.hops_left.min(MAX_HOPS), purpose };
-        self.decide(packet, cx, ledger)
+        self.decide(packet, cx, invariant_counters)
     }
 
-    fn decide(&mut self, packet: Packet, cx: FlowContext<'_>, ledger: &mut Ledger) -> PacketFate {
-        let fate = self.decide_unchecked(packet, cx, ledger);
+    fn decide(
+        &mut self,
+        packet: Packet,
+        cx: FlowContext<'_>,
+        invariant_counters: &mut InvariantCounters,
+    ) -> PacketFate {
+        let fate = self.decide_unchecked(packet, cx, invariant_counters);
         if let PacketFate::Forward { head, .. } = fate {
-            ledger.assert(head.hops_left < packet.hops_left, Invariant::ForwardingEnds);
+            invariant_counters.assert(head.hops_left < packet.hops_left, Invariant::ForwardingEnds);
         }
         fate
     }
 
-    fn decide_unchecked(&mut self, packet: Packet, cx: FlowContext<'_>, ledger: &mut Ledger) -> PacketFate {
+    fn decide_unchecked(
+        &mut self,
+        packet: Packet,
+        cx: FlowContext<'_>,
+        invariant_counters: &mut InvariantCounters,
+    ) -> PacketFate {
         let Some(service) = cx.view.catalog().service(packet.key.service) else {
             return self.drop(DropReason::UnknownService);
         };
@@ -235,8 +245,8 @@
         }
         let doubted = self.doubted.filter(|_| !packet.is_returned());
         let found = self.table.touch(packet.now, &packet.key, doubted);
-        let known = found.and_then(|found| self.decide_known(packet, found, cx, ledger));
-        known.unwrap_or_else(|| self.decide_unknown(packet, service, cx, ledger))
+        let known = found.and_then(|found| self.decide_known(packet, found, cx, invariant_counters));
+        known.unwrap_or_else(|| self.decide_unknown(packet, service, cx, invariant_counters))
     }
 
     /// Decides on a packet whose flow is known here; returns nothing when what is known no longer holds.
@@ -245,12 +255,12 @@
         packet: Packet,
         found: Found,
         cx: FlowContext<'_>,
-        ledger: &mut Ledger,
+        invariant_counters: &mut InvariantCounters,
     ) -> Option<PacketFate> {
         match found.holder {
             Holder::Here { seat, channel } => {
                 let asked = found.doubtful.then(|| self.ask_earlier_home(packet, packet.key.hash64(), cx));
-                asked.flatten().or_else(|| self.send_held(packet, seat, channel, cx, ledger))
+                asked.flatten().or_else(|| self.send_held(packet, seat, channel, cx, invariant_counters))
             }
             Holder::Instance(holder) => self.send_to_holder(packet, holder, cx),
         }
@@ -263,7 +273,7 @@
         seat: SeatIndex,
         channel: Channel,
         cx: FlowContext<'_>,
-        ledger: &mut Ledger,
+        invariant_counters: &mut InvariantCounters,
     ) -> Option<PacketFate> {
         let seat = self.table.seat(seat);
         if seat.block().is_some() {
@@ -271,11 +281,11 @@
             self.counts.given_up += 1;
             return None;
         }
-        ledger.assert(seat.service() == packet.key.service, Invariant::PacketStaysWithService);
+        invariant_counters.assert(seat.service() == packet.key.service, Invariant::PacketStaysWithService);
         if cfg!(debug_assertions) {
             // Too slow for every packet in release, where the block of the seat stands for it.
             let in_service = cx.view.catalog().domain_in_service(&seat.note().failure_domain);
-            ledger.assert(in_service, Invariant::OutDomainSilent);
+            invariant_counters.assert(in_service, Invariant::OutDomainSilent);
         }
         Some(PacketFate::ToTarget { channel, target: seat.note().address })
     }
@@ -300,7 +310,7 @@
         packet: Packet,
         service: &ServiceEntry,
         cx: FlowContext<'_>,
-        ledger: &mut Ledger,
+        invariant_counters: &mut InvariantCounters,
     ) -> PacketFate {
         let hash = packet.key.hash64();
         if let (Purpose::Ask { position }, Some(asker)) = (packet.purpose, packet.from) {
@@ -320,7 +330,7 @@
         if let Some(fate) = self.ask_earlier_home(packet, hash, cx) {
             return fate;
         }
-        self.open(packet, hash, service, cx, ledger)
+        self.open(packet, hash, service, cx, invariant_counters)
     }
 
     /// Sends the packet of an unknown flow to the next earlier home that may hold it.
@@ -354,13 +364,13 @@
         hash: u64,
         service: &ServiceEntry,
         cx: FlowContext<'_>,
-        ledger: &mut Ledger,
+        invariant_counters: &mut InvariantCounters,
     ) -> PacketFate {
         let Some(target) = self.choose_target(packet.now, hash, service, cx) else {
             return self.drop(DropReason::NoTarget);
         };
-        ledger.assert(!target.leaving, Invariant::LeavingTargetGetsNothing);
-        ledger.assert(cx.view.catalog().domains()[target.domain].in_service, Invariant::OutDomainSilent);
+        invariant_counters.assert(!target.leaving, Invariant::LeavingTargetGetsNothing);
+        invariant_counters.assert(cx.view.catalog().domains()[target.domain].in_service, Invariant::OutDomainSilent);
         let note = note(cx.view.catalog(), target);
         let Some(channel) = self.table.insert_here(packet.now, packet.key, &note, 0) else {
             return self.drop(DropReason::TableFull);
--- a/crates/core/src/invariants.rs
+++ b/crates/core/src/invariants.rs
@@ -39,11 +39,11 @@
 
 /// Counts the breaches of each invariant.
 #[derive(Clone, Debug, Default)]
-pub struct Ledger {
+pub struct InvariantCounters {
     breaches: [u64; Invariant::COUNT],
 }
 
-impl Ledger {
+impl InvariantCounters {
     /// Counts a breach unless `holds`.
     ///
     /// # Panics
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -45,7 +45,7 @@
 pub use event::Input;
 pub use event::Output;
 pub use invariants::Invariant;
-pub use invariants::Ledger;
+pub use invariants::InvariantCounters;
 pub use message::PeerMessage;
 pub use node::Node;
 pub use tuning::Tuning;
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -33,7 +33,7 @@
 use crate::flows::FlowContext;
 use crate::flows::Flows;
 use crate::health::TargetStatusCache;
-use crate::invariants::Ledger;
+use crate::invariants::InvariantCounters;
 use crate::membership::Identity;
 use crate::membership::Membership;
 use crate::message::MemberUpdate;
@@ -59,7 +59,7 @@
 pub struct Node {
     tuning: Tuning,
     rng: SmallRng,
-    ledger: Ledger,
+    invariant_counters: InvariantCounters,
     phase: Phase,
     started: Timestamp,
     last_input: Timestamp,
@@ -87,7 +87,7 @@
         let tickets = Tickets::new(me, identity.incarnation, ticket_key, tuning.ticket_life, tuning.answer_bytes);
         Self {
             rng: SmallRng::seed_from_u64(seed),
-            ledger: Ledger::default(),
+            invariant_counters: InvariantCounters::default(),
             phase: Phase::Starting,
             started: now,
             last_input: now,
@@ -121,8 +121,8 @@
 
     /// Returns the breaches of invariants.
     #[must_use]
-    pub fn ledger(&self) -> &Ledger {
-        &self.ledger
+    pub fn invariant_counters(&self) -> &InvariantCounters {
+        &self.invariant_counters
     }
 
     /// Returns the flows.
@@ -155,9 +155,9 @@
         match input {
             Input::CallerPacket { service, caller } => self.caller_packet(now, FlowKey { service, caller }, out),
             Input::ForwardedPacket(head) => {
-                let Self { flows, view, membership, health, configuration, fence, ledger, .. } = self;
+                let Self { flows, view, membership, health, configuration, fence, invariant_counters, .. } = self;
                 let cx = surroundings(view, membership, health, configuration, fence.as_ref());
-                out.push(Output::Packet(flows.forwarded_packet(now, &head, cx, ledger)));
+                out.push(Output::Packet(flows.forwarded_packet(now, &head, cx, invariant_counters)));
             }
             Input::TargetPacket { target, channel } => {
                 out.push(Output::Packet(self.flows.target_packet(now, target, channel, self.fence.is_some())));
@@ -235,7 +235,7 @@
             members: &self.membership,
             coordinator: &mut self.coordinator,
             tickets: &mut self.tickets,
-            ledger: &mut self.ledger,
+            invariant_counters: &mut self.invariant_counters,
             rng: &mut self.rng,
             out,
         };
@@ -243,9 +243,9 @@
     }
 
     fn caller_packet(&mut self, now: Timestamp, key: FlowKey, out: &mut Vec<Output>) {
-        let Self { flows, view, membership, health, configuration, fence, ledger, .. } = self;
+        let Self { flows, view, membership, health, configuration, fence, invariant_counters, .. } = self;
         let cx = surroundings(view, membership, health, configuration, fence.as_ref());
-        out.push(Output::Packet(flows.caller_packet(now, key, cx, ledger)));
+        out.push(Output::Packet(flows.caller_packet(now, key, cx, invariant_counters)));
     }
 
     fn tick(&mut self, now: Timestamp, out: &mut Vec<Output>) {
@@ -320,7 +320,7 @@
     fn offer(&mut self, now: Timestamp, set: Arc<CheckedSet>, out: &mut Vec<Output>) {
         let revision = set.set().revision;
         let before = self.configuration.catalog().digest();
-        let adoption = self.configuration.offer(now, set, &mut self.ledger);
+        let adoption = self.configuration.offer(now, set, &mut self.invariant_counters);
         if adoption == Adoption::Clash {
             out.push(Output::Notice(Notice::SetClash { revision }));
         }
--- a/crates/core/src/node/state.rs
+++ b/crates/core/src/node/state.rs
@@ -46,7 +46,7 @@
             tickets_remembered: self.tickets.remembered(),
             answer_bytes: self.tickets.answer_bytes(),
             kept: self.coordinator.targets(name),
-            breaches: self.ledger.breaches(),
+            breaches: self.invariant_counters.breaches(),
         }
     }
 }
--- a/crates/core/src/requests/mod.rs
+++ b/crates/core/src/requests/mod.rs
@@ -35,7 +35,7 @@
 use crate::event::Output;
 use crate::event::RequestId;
 use crate::invariants::Invariant;
-use crate::invariants::Ledger;
+use crate::invariants::InvariantCounters;
 use crate::maps::Map;
 use crate::membership::Membership;
 use crate::message::PassHead;
@@ -75,7 +75,7 @@
     /// The tickets issued here.
     pub tickets: &'a mut Tickets,
     /// Breaches.
-    pub ledger: &'a mut Ledger,
+    pub invariant_counters: &'a mut InvariantCounters,
     /// Randomness.
     pub rng: &'a mut SmallRng,
     /// How far the view may be trusted.
@@ -389,7 +389,8 @@
     /// Gives a request a slot of a target kept here, or a place in the queue.
     fn keep(&mut self, cx: &mut RequestCx<'_>, request: RequestId) {
         let Some(entry) = self.entries.get_mut(&request) else { return };
-        let admission = cx.coordinator.admit(cx.now, request, entry.group, entry.class, cx.lease_state, cx.ledger);
+        let admission =
+            cx.coordinator.admit(cx.now, request, entry.group, entry.class, cx.lease_state, cx.invariant_counters);
         match admission {
             Admission::Run(target) => self.execute(cx, request, target),
             Admission::Queued => entry.stage = Stage::Queued,
@@ -411,9 +412,9 @@
             cx.coordinator.attempt_ended(cx.now, request, AttemptOutcome::Cancelled);
             return self.try_elsewhere(cx, request, Reason::NoTarget);
         };
-        cx.ledger.assert(cx.view.catalog().domains()[target.domain].in_service, Invariant::OutDomainSilent);
+        cx.invariant_counters.assert(cx.view.catalog().domains()[target.domain].in_service, Invariant::OutDomainSilent);
         let own = cx.view.catalog().service(entry.service).map(|service| service.group_id);
-        cx.ledger.assert(own == Some(target.group_id), Invariant::PacketStaysWithService);
+        cx.invariant_counters.assert(own == Some(target.group_id), Invariant::PacketStaysWithService);
         entry.stage = Stage::Running;
         entry.exposed = true;
         entry.attempt += 1;
@@ -537,7 +538,7 @@
 
     /// Runs requests that wait, as far as slots are free.
     pub fn start_queued(&mut self, cx: &mut RequestCx<'_>) {
-        for (request, target) in cx.coordinator.start_queued(cx.now, cx.lease_state, cx.ledger) {
+        for (request, target) in cx.coordinator.start_queued(cx.now, cx.lease_state, cx.invariant_counters) {
             self.execute(cx, request, target);
         }
     }
--- a/crates/core/src/requests/outcome.rs
+++ b/crates/core/src/requests/outcome.rs
@@ -45,7 +45,7 @@
             cx.out.push(Output::ForgetAnswer { answer: answer.id });
             return;
         };
-        let settlement = cx.tickets.settle(serial, RunEnd::Answered(answer), cx.ledger);
+        let settlement = cx.tickets.settle(serial, RunEnd::Answered(answer), cx.invariant_counters);
         for waiter in settlement.waiting {
             self.answer_kept(cx, waiter, answer.id);
         }
@@ -71,7 +71,7 @@
         let Some(entry) = self.remove(request) else { return };
         let verdict = verdict.max(entry.worst);
         if verdict == Verdict::NotRun {
-            cx.ledger.assert(!entry.exposed, Invariant::NotRunIsTrue);
+            cx.invariant_counters.assert(!entry.exposed, Invariant::NotRunIsTrue);
         }
         let refusal = Refusal { verdict, reason };
         if verdict == Verdict::MayHaveRun && !entry.idempotent && entry.part != Part::Coordinator {
@@ -80,7 +80,7 @@
         self.reply_refusal_for(cx, request, &entry, refusal);
         let Some(serial) = entry.serial else { return };
         let end = if verdict == Verdict::NotRun { RunEnd::NotRun } else { RunEnd::Unknown(refusal) };
-        let settlement = cx.tickets.settle(serial, end, cx.ledger);
+        let settlement = cx.tickets.settle(serial, end, cx.invariant_counters);
         for waiter in settlement.waiting {
             if let Some(entry) = self.remove(waiter) {
                 self.reply_refusal_for(cx, waiter, &entry, refusal);
--- a/crates/core/src/tickets.rs
+++ b/crates/core/src/tickets.rs
@@ -24,7 +24,7 @@
 use crate::event::AnswerNote;
 use crate::event::RequestId;
 use crate::invariants::Invariant;
-use crate::invariants::Ledger;
+use crate::invariants::InvariantCounters;
 use crate::maps::Map;
 use crate::maps::Set;
 use crate::message::PeerMessage;
@@ -306,7 +306,7 @@
     }
 
     /// Notes how the run of a redeemed ticket ended.
-    pub fn settle(&mut self, serial: Serial, end: RunEnd, ledger: &mut Ledger) -> Settlement {
+    pub fn settle(&mut self, serial: Serial, end: RunEnd, invariant_counters: &mut InvariantCounters) -> Settlement {
         let Some(redemption) = self.redemptions.get_mut(&serial) else { return Settlement::default() };
         let state = match end {
             RunEnd::Answered(answer) => State::Answered(answer),
@@ -316,7 +316,7 @@
         let former = std::mem::replace(&mut redemption.state, state);
         let State::Running { waiting } = former else {
             // A second end of one ticket means that it ran twice.
-            ledger.assert(false, Invariant::TicketRunsOnce);
+            invariant_counters.assert(false, Invariant::TicketRunsOnce);
             return Settlement::default();
         };
         if end == RunEnd::NotRun {
--- a/crates/core/tests/flows.rs
+++ b/crates/core/tests/flows.rs
@@ -11,7 +11,7 @@
 use hawthornshift_core::configuration::Adoption;
 use hawthornshift_core::configuration::Configuration;
 use hawthornshift_core::health::TargetStatus;
-use hawthornshift_core::invariants::Ledger;
+use hawthornshift_core::invariants::InvariantCounters;
 use hawthornshift_core::message::FlowNote;
 use hawthornshift_model::CheckedSet;
 use hawthornshift_model::DomainState;
@@ -199,17 +199,17 @@
         set.services[1].idle_ms = idle_ms;
         Arc::new(CheckedSet::new(set).unwrap())
     };
-    let mut ledger = Ledger::default();
+    let mut invariant_counters = InvariantCounters::default();
     let now = Duration::from_secs(1);
     for idle_ms in 1..20 {
         let mut first = Configuration::default();
-        assert_eq!(first.offer(now, made(5, 60_000), &mut ledger), Adoption::Adopted);
-        assert_eq!(first.offer(now, made(4, idle_ms), &mut ledger), Adoption::Stale);
+        assert_eq!(first.offer(now, made(5, 60_000), &mut invariant_counters), Adoption::Adopted);
+        assert_eq!(first.offer(now, made(4, idle_ms), &mut invariant_counters), Adoption::Stale);
         assert_eq!(first.revision(), 5);
         let mut second = Configuration::default();
-        second.offer(now, made(5, idle_ms), &mut ledger);
-        assert_eq!(first.offer(now, made(5, idle_ms), &mut ledger), Adoption::Clash);
-        assert_eq!(second.offer(now, made(5, 60_000), &mut ledger), Adoption::Clash);
+        second.offer(now, made(5, idle_ms), &mut invariant_counters);
+        assert_eq!(first.offer(now, made(5, idle_ms), &mut invariant_counters), Adoption::Clash);
+        assert_eq!(second.offer(now, made(5, 60_000), &mut invariant_counters), Adoption::Clash);
         assert_eq!(first.catalog().digest(), second.catalog().digest());
     }
 }
--- a/crates/core/tests/requests.rs
+++ b/crates/core/tests/requests.rs
@@ -12,7 +12,7 @@
 use hawthornshift_core::Node;
 use hawthornshift_core::Output;
 use hawthornshift_core::Tuning;
-use hawthornshift_core::invariants::Ledger;
+use hawthornshift_core::invariants::InvariantCounters;
 use hawthornshift_core::membership::Identity;
 use hawthornshift_core::node::TICK;
 use hawthornshift_core::tickets::LastWord;
@@ -52,7 +52,7 @@
     assert_eq!(issuer.present(now, &ticket, 5, 2), Presented::Wait);
     let answer = hawthornshift_core::event::AnswerNote { id: 40, size: 10 };
     let end = hawthornshift_core::tickets::RunEnd::Answered(answer);
-    let settlement = issuer.settle(serial, end, &mut Ledger::default());
+    let settlement = issuer.settle(serial, end, &mut InvariantCounters::default());
     assert_eq!(settlement.waiting, [2]);
     assert_eq!(issuer.present(now, &ticket, 5, 3), Presented::Answer(40));
 }
@@ -63,13 +63,13 @@
 fn what_a_caller_is_told_after_an_answer_is_gone_stays_true() {
     let mut issuer = tickets();
     let now = Duration::from_secs(1);
-    let mut ledger = Ledger::default();
+    let mut invariant_counters = InvariantCounters::default();
     let used = issuer.issue(now, 5);
     let unused = issuer.issue(now, 5);
     let Presented::Run(serial) = issuer.present(now, &used, 5, 1) else { panic!("not redeemed") };
     let answer = hawthornshift_core::event::AnswerNote { id: 1, size: 2_000 };
     let end = hawthornshift_core::tickets::RunEnd::Answered(answer);
-    assert_eq!(issuer.settle(serial, end, &mut ledger).dropped, [1]);
+    assert_eq!(issuer.settle(serial, end, &mut invariant_counters).dropped, [1]);
     assert_eq!(issuer.present(now, &used, 5, 2), Presented::AnswerGone);
     let later = now + Duration::from_mins(11);
     issuer.expire(later);
--- a/crates/core/tests/targets.rs
+++ b/crates/core/tests/targets.rs
@@ -14,7 +14,7 @@
 use hawthornshift_core::coordinator::TargetCoordinator;
 use hawthornshift_core::flows::table::FlowTable;
 use hawthornshift_core::flows::table::Holder;
-use hawthornshift_core::invariants::Ledger;
+use hawthornshift_core::invariants::InvariantCounters;
 use hawthornshift_core::message::TargetNote;
 use hawthornshift_core::slow_start::SlowStartLimit;
 use hawthornshift_core::view::LeaseState;
@@ -55,12 +55,12 @@
     let group = catalog.services().find(|service| service.name == "suscripciones").unwrap().group_id;
     let alone = View::new(Arc::clone(&catalog), [(ServingInstance { id: 0, incarnation: 1 }, "norte")]);
     let mut rng = SmallRng::seed_from_u64(1);
-    let mut ledger = Ledger::default();
+    let mut invariant_counters = InvariantCounters::default();
     let start = Duration::from_secs(10);
     let mut coordinator = TargetCoordinator::new(0, Tuning::default());
     coordinator.view_changed(start, &alone, &mut rng);
     let mut admit = |coordinator: &mut TargetCoordinator, now, request| {
-        coordinator.admit(now, request, group, Class::Critical, LeaseState::Valid, &mut ledger)
+        coordinator.admit(now, request, group, Class::Critical, LeaseState::Valid, &mut invariant_counters)
     };
     assert_eq!(admit(&mut coordinator, start, 1), Admission::Queued);
     let released = coordinator.targets(|id| id.to_string()).iter().find_map(|kept| {
@@ -70,14 +70,17 @@
     coordinator.released_by(start, 4, released.unwrap(), 1);
     let now = start + Duration::from_millis(10);
     assert!(
-        coordinator.start_queued(now, LeaseState::Valid, &mut Ledger::default()).is_empty(),
+        coordinator.start_queued(now, LeaseState::Valid, &mut InvariantCounters::default()).is_empty(),
         "the former still runs one"
     );
     coordinator.released_by(now, 4, released.unwrap(), 0);
-    assert_eq!(coordinator.start_queued(now, LeaseState::Valid, &mut Ledger::default()), [(1, released.unwrap())]);
+    assert_eq!(
+        coordinator.start_queued(now, LeaseState::Valid, &mut InvariantCounters::default()),
+        [(1, released.unwrap())]
+    );
     assert_eq!(admit(&mut coordinator, now, 2), Admission::Queued);
     let later = start + Duration::from_secs(2);
-    assert_eq!(coordinator.start_queued(later, LeaseState::Valid, &mut Ledger::default()).len(), 1);
+    assert_eq!(coordinator.start_queued(later, LeaseState::Valid, &mut InvariantCounters::default()).len(), 1);
 }
 
 /// A flow ends and another starts at the same target at once. A late packet of the target for the first would reach
@@ -135,8 +138,9 @@
     let mut coordinator = TargetCoordinator::new(0, Tuning::default());
     let now = Duration::from_secs(10);
     coordinator.view_changed(now, &alone, &mut SmallRng::seed_from_u64(1));
-    let mut ledger = Ledger::default();
-    let mut admit = |request, class| coordinator.admit(now, request, group, class, LeaseState::Valid, &mut ledger);
+    let mut invariant_counters = InvariantCounters::default();
+    let mut admit =
+        |request, class| coordinator.admit(now, request, group, class, LeaseState::Valid, &mut invariant_counters);
     let room = 14 * 2 * 4;
     for request in 0..room {
         assert_eq!(admit(request, Class::Bulk), Admission::Queued);
@@ -144,6 +148,6 @@
     assert_eq!(admit(room, Class::Bulk), Admission::Full);
     assert_eq!(admit(room + 1, Class::Critical), Admission::QueuedInsteadOf(room - 1));
     let later = now + Duration::from_secs(2);
-    let started = coordinator.start_queued(later, LeaseState::Valid, &mut Ledger::default());
+    let started = coordinator.start_queued(later, LeaseState::Valid, &mut InvariantCounters::default());
     assert_eq!(started.first().map(|(request, _)| *request), Some(room + 1));
 }
