--- a/crates/core/src/requests/mod.rs
+++ b/crates/core/src/requests/mod.rs
@@ -43,7 +43,7 @@
 use crate::message::Reason;
 use crate::message::Refusal;
 use crate::tickets::LastWord;
-use crate::tickets::Presented;
+use crate::tickets::PresentOutcome;
 use crate::tickets::Serial;
 use crate::tickets::Ticket;
 use crate::tickets::Tickets;
@@ -335,20 +335,20 @@
     fn redeem(&mut self, cx: &mut RequestCx<'_>, request: RequestId, text: &str) {
         let Some(service) = self.entries.get(&request).map(|entry| entry.service) else { return };
         match cx.tickets.present(cx.now, text, service, request) {
-            Presented::Run(serial) => {
+            PresentOutcome::Run(serial) => {
                 let Some(entry) = self.entries.get_mut(&request) else { return };
                 entry.serial = Some(serial);
                 self.dispatch(cx, request);
             }
-            Presented::Wait => self.set_stage(request, Stage::Waiting),
-            Presented::Closed => self.refuse(cx, request, Verdict::NotRun, Reason::Stopping),
-            Presented::Answer(answer) => self.answer_kept(cx, request, answer),
-            Presented::AnswerGone => self.refuse(cx, request, Verdict::MayHaveRun, Reason::AnswerGone),
-            Presented::Unknown(refusal) => self.refuse(cx, request, refusal.verdict, refusal.reason),
-            Presented::Invalid => self.refuse(cx, request, Verdict::NotRun, Reason::TicketInvalid),
-            Presented::Expired => self.refuse(cx, request, Verdict::NotRun, Reason::TicketExpired),
-            Presented::Forgotten => self.refuse(cx, request, Verdict::MayHaveRun, Reason::TicketExpired),
-            Presented::Full => self.refuse(cx, request, Verdict::NotRun, Reason::TableFull),
+            PresentOutcome::Wait => self.set_stage(request, Stage::Waiting),
+            PresentOutcome::Closed => self.refuse(cx, request, Verdict::NotRun, Reason::Stopping),
+            PresentOutcome::Answer(answer) => self.answer_kept(cx, request, answer),
+            PresentOutcome::AnswerGone => self.refuse(cx, request, Verdict::MayHaveRun, Reason::AnswerGone),
+            PresentOutcome::Unknown(refusal) => self.refuse(cx, request, refusal.verdict, refusal.reason),
+            PresentOutcome::Invalid => self.refuse(cx, request, Verdict::NotRun, Reason::TicketInvalid),
+            PresentOutcome::Expired => self.refuse(cx, request, Verdict::NotRun, Reason::TicketExpired),
+            PresentOutcome::Forgotten => self.refuse(cx, request, Verdict::MayHaveRun, Reason::TicketExpired),
+            PresentOutcome::Full => self.refuse(cx, request, Verdict::NotRun, Reason::TableFull),
         }
     }
 
--- a/crates/core/src/tickets.rs
+++ b/crates/core/src/tickets.rs
@@ -123,7 +123,7 @@
 
 /// What becomes of a ticket that is presented to its issuer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Presented {
+pub enum PresentOutcome {
     /// It is redeemed now: run the request.
     Run(Serial),
     /// The request runs already: wait for its answer.
@@ -256,37 +256,37 @@
     }
 
     /// Takes a ticket that names this life of this instance, and says what to do.
-    pub fn present(&mut self, now: Timestamp, text: &str, service: ServiceId, waiter: RequestId) -> Presented {
-        let Ok((ticket, signature)) = Ticket::split(text) else { return Presented::Invalid };
+    pub fn present(&mut self, now: Timestamp, text: &str, service: ServiceId, waiter: RequestId) -> PresentOutcome {
+        let Ok((ticket, signature)) = Ticket::split(text) else { return PresentOutcome::Invalid };
         if !self.is_genuine(&ticket, signature, service) {
-            return Presented::Invalid;
+            return PresentOutcome::Invalid;
         }
         if let Some(redemption) = self.redemptions.get_mut(&ticket.serial) {
             return match &mut redemption.state {
                 State::Running { waiting } => {
                     waiting.push(waiter);
-                    Presented::Wait
+                    PresentOutcome::Wait
                 }
-                State::Answered(answer) => Presented::Answer(answer.id),
-                State::AnswerDropped => Presented::AnswerGone,
-                State::Unknown(refusal) => Presented::Unknown(*refusal),
+                State::Answered(answer) => PresentOutcome::Answer(answer.id),
+                State::AnswerDropped => PresentOutcome::AnswerGone,
+                State::Unknown(refusal) => PresentOutcome::Unknown(*refusal),
             };
         }
         let age = now.saturating_sub(Duration::from_millis(ticket.issued_ms));
         if age >= self.life * 2 {
-            return Presented::Forgotten;
+            return PresentOutcome::Forgotten;
         }
         if age >= self.life {
-            return Presented::Expired;
+            return PresentOutcome::Expired;
         }
         if self.is_closed {
-            return Presented::Closed;
+            return PresentOutcome::Closed;
         }
         if self.redemptions.len() >= MAX_REDEMPTIONS {
-            return Presented::Full;
+            return PresentOutcome::Full;
         }
         self.redeem(now, ticket.serial);
-        Presented::Run(ticket.serial)
+        PresentOutcome::Run(ticket.serial)
     }
 
     fn is_genuine(&self, ticket: &Ticket, signature: &str, service: ServiceId) -> bool {
--- a/crates/core/tests/requests.rs
+++ b/crates/core/tests/requests.rs
@@ -16,7 +16,7 @@
 use hawthornshift_core::membership::Identity;
 use hawthornshift_core::node::TICK;
 use hawthornshift_core::tickets::LastWord;
-use hawthornshift_core::tickets::Presented;
+use hawthornshift_core::tickets::PresentOutcome;
 use hawthornshift_core::tickets::Ticket;
 use hawthornshift_core::tickets::Tickets;
 use hawthornshift_model::CheckedSet;
@@ -32,14 +32,14 @@
     let mut issuer = tickets();
     let now = Duration::from_secs(1);
     let ticket = issuer.issue(now, 5);
-    assert_eq!(issuer.present(now, &ticket, 6, 1), Presented::Invalid);
+    assert_eq!(issuer.present(now, &ticket, 6, 1), PresentOutcome::Invalid);
     let mut forged = ticket.clone();
     let last = forged.pop().unwrap();
     forged.push(if last == '0' { '1' } else { '0' });
-    assert_eq!(issuer.present(now, &forged, 5, 1), Presented::Invalid);
+    assert_eq!(issuer.present(now, &forged, 5, 1), PresentOutcome::Invalid);
     let mut later = Tickets::new(3, 78, [8; 32], Duration::from_mins(10), 1_000);
-    assert_eq!(later.present(now, &ticket, 5, 1), Presented::Invalid);
-    assert!(matches!(issuer.present(now, &ticket, 5, 1), Presented::Run(_)));
+    assert_eq!(later.present(now, &ticket, 5, 1), PresentOutcome::Invalid);
+    assert!(matches!(issuer.present(now, &ticket, 5, 1), PresentOutcome::Run(_)));
 }
 
 /// A caller loses patience and sends the same order again while the first still runs. Both get the one answer.
@@ -48,13 +48,13 @@
     let mut issuer = tickets();
     let now = Duration::from_secs(1);
     let ticket = issuer.issue(now, 5);
-    let Presented::Run(serial) = issuer.present(now, &ticket, 5, 1) else { panic!("not redeemed") };
-    assert_eq!(issuer.present(now, &ticket, 5, 2), Presented::Wait);
+    let PresentOutcome::Run(serial) = issuer.present(now, &ticket, 5, 1) else { panic!("not redeemed") };
+    assert_eq!(issuer.present(now, &ticket, 5, 2), PresentOutcome::Wait);
     let answer = hawthornshift_core::event::AnswerNote { id: 40, size: 10 };
     let end = hawthornshift_core::tickets::RunEnd::Answered(answer);
     let settlement = issuer.settle(serial, end, &mut InvariantCounters::default());
     assert_eq!(settlement.waiting, [2]);
-    assert_eq!(issuer.present(now, &ticket, 5, 3), Presented::Answer(40));
+    assert_eq!(issuer.present(now, &ticket, 5, 3), PresentOutcome::Answer(40));
 }
 
 /// A caller comes back for an answer that was dropped to make room, and again after the ticket's time. It is told that
@@ -66,19 +66,19 @@
     let mut invariant_counters = InvariantCounters::default();
     let used = issuer.issue(now, 5);
     let unused = issuer.issue(now, 5);
-    let Presented::Run(serial) = issuer.present(now, &used, 5, 1) else { panic!("not redeemed") };
+    let PresentOutcome::Run(serial) = issuer.present(now, &used, 5, 1) else { panic!("not redeemed") };
     let answer = hawthornshift_core::event::AnswerNote { id: 1, size: 2_000 };
     let end = hawthornshift_core::tickets::RunEnd::Answered(answer);
     assert_eq!(issuer.settle(serial, end, &mut invariant_counters).dropped, [1]);
-    assert_eq!(issuer.present(now, &used, 5, 2), Presented::AnswerGone);
+    assert_eq!(issuer.present(now, &used, 5, 2), PresentOutcome::AnswerGone);
     let later = now + Duration::from_mins(11);
     issuer.expire(later);
-    assert_eq!(issuer.present(later, &used, 5, 2), Presented::AnswerGone);
-    assert_eq!(issuer.present(later, &unused, 5, 2), Presented::Expired);
+    assert_eq!(issuer.present(later, &used, 5, 2), PresentOutcome::AnswerGone);
+    assert_eq!(issuer.present(later, &unused, 5, 2), PresentOutcome::Expired);
     let much_later = now + Duration::from_mins(30);
     issuer.expire(much_later);
-    assert_eq!(issuer.present(much_later, &used, 5, 2), Presented::Forgotten);
-    assert_eq!(issuer.present(much_later, &unused, 5, 2), Presented::Forgotten);
+    assert_eq!(issuer.present(much_later, &used, 5, 2), PresentOutcome::Forgotten);
+    assert_eq!(issuer.present(much_later, &unused, 5, 2), PresentOutcome::Forgotten);
 }
 
 /// An issuer stops as planned and says which tickets it redeemed. A ticket so old that its redemption had been
@@ -90,7 +90,7 @@
     let now = Duration::from_hours(1);
     let recent = issuer.issue(now, 5);
     let redeemed = issuer.issue(now, 5);
-    assert!(matches!(issuer.present(now, &redeemed, 5, 1), Presented::Run(_)));
+    assert!(matches!(issuer.present(now, &redeemed, 5, 1), PresentOutcome::Run(_)));
     let mut other = Tickets::new(4, 80, [1; 32], Duration::from_mins(10), 1_000);
     other.issuer_closed(3, 77, issuer.known_since_ms(now), &issuer.redeemed());
     let word = |ticket: &str| other.last_word(&Ticket::parse(ticket).unwrap());
