--- a/crates/core/src/requests/mod.rs
+++ b/crates/core/src/requests/mod.rs
@@ -42,7 +42,7 @@
 use crate::message::PassPurpose;
 use crate::message::Reason;
 use crate::message::Refusal;
-use crate::tickets::LastWord;
+use crate::tickets::ClosedIssuerStatus;
 use crate::tickets::PresentOutcome;
 use crate::tickets::Serial;
 use crate::tickets::Ticket;
@@ -314,10 +314,12 @@
         let Ok(ticket) = Ticket::parse(text) else {
             return self.refuse(cx, request, Verdict::NotRun, Reason::TicketInvalid);
         };
-        match cx.tickets.last_word(&ticket) {
-            LastWord::NeverRedeemed => return self.refuse(cx, request, Verdict::NotRun, Reason::TicketExpired),
-            LastWord::Redeemed => return self.refuse(cx, request, Verdict::MayHaveRun, Reason::AnswerGone),
-            LastWord::None => {}
+        match cx.tickets.closed_issuer_status(&ticket) {
+            ClosedIssuerStatus::NeverRedeemed => {
+                return self.refuse(cx, request, Verdict::NotRun, Reason::TicketExpired);
+            }
+            ClosedIssuerStatus::Redeemed => return self.refuse(cx, request, Verdict::MayHaveRun, Reason::AnswerGone),
+            ClosedIssuerStatus::Unknown => {}
         }
         let issuer = cx.members.member(ticket.issuer);
         let issuer = issuer.filter(|update| update.incarnation == ticket.incarnation && update.state.is_reachable());
--- a/crates/core/src/tickets.rs
+++ b/crates/core/src/tickets.rs
@@ -148,13 +148,13 @@
 
 /// What is known of a ticket whose issuer has stopped.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum LastWord {
+pub enum ClosedIssuerStatus {
     /// The issuer said that it never redeemed it.
     NeverRedeemed,
     /// The issuer said that it redeemed it.
     Redeemed,
     /// The issuer left no word.
-    None,
+    Unknown,
 }
 
 /// How an answered or failed run leaves its redemption.
@@ -424,13 +424,13 @@
 
     /// Returns what is known of a ticket whose issuer has stopped.
     #[must_use]
-    pub fn last_word(&self, ticket: &Ticket) -> LastWord {
+    pub fn closed_issuer_status(&self, ticket: &Ticket) -> ClosedIssuerStatus {
         match self.closed.get(&(ticket.issuer, ticket.incarnation)) {
-            None => LastWord::None,
-            Some(closed) if closed.redeemed.contains(&ticket.serial) => LastWord::Redeemed,
+            None => ClosedIssuerStatus::Unknown,
+            Some(closed) if closed.redeemed.contains(&ticket.serial) => ClosedIssuerStatus::Redeemed,
             // So old that its redemption, if there was one, had been forgotten when the issuer stopped.
-            Some(closed) if ticket.issued_ms < closed.known_since_ms => LastWord::None,
-            Some(_) => LastWord::NeverRedeemed,
+            Some(closed) if ticket.issued_ms < closed.known_since_ms => ClosedIssuerStatus::Unknown,
+            Some(_) => ClosedIssuerStatus::NeverRedeemed,
         }
     }
 }
--- a/crates/core/tests/requests.rs
+++ b/crates/core/tests/requests.rs
@@ -15,7 +15,7 @@
 use hawthornshift_core::invariants::InvariantCounters;
 use hawthornshift_core::membership::Identity;
 use hawthornshift_core::node::TICK;
-use hawthornshift_core::tickets::LastWord;
+use hawthornshift_core::tickets::ClosedIssuerStatus;
 use hawthornshift_core::tickets::PresentOutcome;
 use hawthornshift_core::tickets::Ticket;
 use hawthornshift_core::tickets::Tickets;
@@ -93,10 +93,10 @@
     assert!(matches!(issuer.present(now, &redeemed, 5, 1), PresentOutcome::Run(_)));
     let mut other = Tickets::new(4, 80, [1; 32], Duration::from_mins(10), 1_000);
     other.issuer_closed(3, 77, issuer.known_since_ms(now), &issuer.redeemed());
-    let word = |ticket: &str| other.last_word(&Ticket::parse(ticket).unwrap());
-    assert_eq!(word(&old), LastWord::None);
-    assert_eq!(word(&recent), LastWord::NeverRedeemed);
-    assert_eq!(word(&redeemed), LastWord::Redeemed);
+    let word = |ticket: &str| other.closed_issuer_status(&Ticket::parse(ticket).unwrap());
+    assert_eq!(word(&old), ClosedIssuerStatus::Unknown);
+    assert_eq!(word(&recent), ClosedIssuerStatus::NeverRedeemed);
+    assert_eq!(word(&redeemed), ClosedIssuerStatus::Redeemed);
 }
 
 /// The shift opens after a night: every target is cold, and all orders come at once. Targets that are given more than
