--- a/crates/core/src/tickets.rs
+++ b/crates/core/src/tickets.rs
@@ -168,7 +168,7 @@
 
 /// How a run ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum RunEnd {
+pub enum RunOutcome {
     /// With an answer.
     Answered(AnswerNote),
     /// Without running: the ticket may be presented again.
@@ -306,12 +306,17 @@
     }
 
     /// Notes how the run of a redeemed ticket ended.
-    pub fn settle(&mut self, serial: Serial, end: RunEnd, invariant_counters: &mut InvariantCounters) -> Settlement {
+    pub fn settle(
+        &mut self,
+        serial: Serial,
+        end: RunOutcome,
+        invariant_counters: &mut InvariantCounters,
+    ) -> Settlement {
         let Some(redemption) = self.redemptions.get_mut(&serial) else { return Settlement::default() };
         let state = match end {
-            RunEnd::Answered(answer) => State::Answered(answer),
-            RunEnd::Unknown(refusal) => State::Unknown(refusal),
-            RunEnd::NotRun => State::Running { waiting: Vec::new() },
+            RunOutcome::Answered(answer) => State::Answered(answer),
+            RunOutcome::Unknown(refusal) => State::Unknown(refusal),
+            RunOutcome::NotRun => State::Running { waiting: Vec::new() },
         };
         let former = std::mem::replace(&mut redemption.state, state);
         let State::Running { waiting } = former else {
@@ -319,10 +324,10 @@
             invariant_counters.assert(false, Invariant::TicketRunsOnce);
             return Settlement::default();
         };
-        if end == RunEnd::NotRun {
+        if end == RunOutcome::NotRun {
             self.redemptions.remove(&serial);
         }
-        if let RunEnd::Answered(answer) = end {
+        if let RunOutcome::Answered(answer) = end {
             self.answers.push_back((serial, answer.size));
             self.answer_bytes += answer.size;
         }
