--- a/crates/core/src/requests/outcome.rs
+++ b/crates/core/src/requests/outcome.rs
@@ -45,7 +45,7 @@
             cx.out.push(Output::ForgetAnswer { answer: answer.id });
             return;
         };
-        let settlement = cx.tickets.settle(serial, RunOutcome::Answered(answer), cx.invariant_counters);
+        let settlement = cx.tickets.finish_run(serial, RunOutcome::Answered(answer), cx.invariant_counters);
         for waiter in settlement.waiting {
             self.answer_kept(cx, waiter, answer.id);
         }
@@ -80,7 +80,7 @@
         self.reply_refusal_for(cx, request, &entry, refusal);
         let Some(serial) = entry.serial else { return };
         let end = if verdict == Verdict::NotRun { RunOutcome::NotRun } else { RunOutcome::Unknown(refusal) };
-        let settlement = cx.tickets.settle(serial, end, cx.invariant_counters);
+        let settlement = cx.tickets.finish_run(serial, end, cx.invariant_counters);
         for waiter in settlement.waiting {
             if let Some(entry) = self.remove(waiter) {
                 self.reply_refusal_for(cx, waiter, &entry, refusal);
--- a/crates/core/src/tickets.rs
+++ b/crates/core/src/tickets.rs
@@ -306,7 +306,7 @@
     }
 
     /// Notes how the run of a redeemed ticket ended.
-    pub fn settle(
+    pub fn finish_run(
         &mut self,
         serial: Serial,
         end: RunOutcome,
