--- a/crates/adapters/src/engine.rs
+++ b/crates/adapters/src/engine.rs
@@ -37,10 +37,10 @@
 use hawthornshift_core::Output;
 use hawthornshift_core::Timestamp;
 use hawthornshift_core::event::AnswerId;
-use hawthornshift_core::event::AnswerNote;
 use hawthornshift_core::event::PacketFate;
 use hawthornshift_core::event::Reply;
 use hawthornshift_core::event::RequestId;
+use hawthornshift_core::event::StoredAnswer;
 use hawthornshift_core::event::StreamId;
 use hawthornshift_core::message::Envelope;
 use hawthornshift_model::InstanceId;
@@ -274,11 +274,11 @@
     }
 
     /// Keeps an answer until the core says that it can be forgotten.
-    pub(crate) fn keep_answer(&self, answer: Answer) -> AnswerNote {
+    pub(crate) fn keep_answer(&self, answer: Answer) -> StoredAnswer {
         let id = self.counters.answers.fetch_add(1, Ordering::Relaxed);
         let size = answer.size();
         lock(&self.answers).insert(id, Arc::new(answer));
-        AnswerNote { id, size }
+        StoredAnswer { id, size }
     }
 
     /// Registers a stream whose task takes orders from the core.
--- a/crates/core/src/attempt.rs
+++ b/crates/core/src/attempt.rs
@@ -7,10 +7,10 @@
 
 use std::marker::PhantomData;
 
-use crate::event::AnswerNote;
 use crate::event::AttemptNumber;
 use crate::event::Input;
 use crate::event::RequestId;
+use crate::event::StoredAnswer;
 use crate::message::Reason;
 use crate::message::Refusal;
 use hawthornshift_model::Verdict;
@@ -72,7 +72,7 @@
 
     /// The whole answer has come.
     #[must_use]
-    pub fn answered(self, answer: AnswerNote) -> Input {
+    pub fn answered(self, answer: StoredAnswer) -> Input {
         Input::TargetAnswered { request: self.request, attempt: self.number, answer }
     }
 }
--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -115,7 +115,7 @@
         /// The request.
         request: RequestId,
         /// How.
-        result: Result<AnswerNote, Refusal>,
+        result: Result<StoredAnswer, Refusal>,
         /// Slots that the other instance has free, when it keeps targets.
         free: Option<u32>,
     },
@@ -133,7 +133,7 @@
         /// The try it answers.
         attempt: AttemptNumber,
         /// The answer.
-        answer: AnswerNote,
+        answer: StoredAnswer,
     },
     /// A try at a target failed.
     TargetFailed {
@@ -172,7 +172,7 @@
 
 /// An answer that the adapter holds.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct AnswerNote {
+pub struct StoredAnswer {
     /// Its number.
     pub id: AnswerId,
     /// Its size in bytes.
--- a/crates/core/src/requests/mod.rs
+++ b/crates/core/src/requests/mod.rs
@@ -30,10 +30,10 @@
 use crate::coordinator::Admission;
 use crate::coordinator::AttemptOutcome;
 use crate::coordinator::TargetCoordinator;
-use crate::event::AnswerNote;
 use crate::event::AttemptNumber;
 use crate::event::Output;
 use crate::event::RequestId;
+use crate::event::StoredAnswer;
 use crate::invariants::Invariant;
 use crate::invariants::InvariantCounters;
 use crate::maps::Map;
@@ -454,7 +454,7 @@
         &mut self,
         cx: &mut RequestCx<'_>,
         request: RequestId,
-        result: Result<AnswerNote, Refusal>,
+        result: Result<StoredAnswer, Refusal>,
         free: Option<u32>,
     ) {
         let Some(entry) = self.entries.get(&request) else {
@@ -506,7 +506,7 @@
         cx: &mut RequestCx<'_>,
         request: RequestId,
         attempt: AttemptNumber,
-        answer: AnswerNote,
+        answer: StoredAnswer,
     ) {
         if !self.is_current(request, attempt) {
             return self.drop_late(cx, Some(answer));
--- a/crates/core/src/requests/outcome.rs
+++ b/crates/core/src/requests/outcome.rs
@@ -8,11 +8,11 @@
 use super::Requests;
 use crate::catalog::GroupId;
 use crate::event::AnswerId;
-use crate::event::AnswerNote;
 use crate::event::Notice;
 use crate::event::Output;
 use crate::event::Reply;
 use crate::event::RequestId;
+use crate::event::StoredAnswer;
 use crate::invariants::Invariant;
 use crate::message::Reason;
 use crate::message::Refusal;
@@ -30,7 +30,7 @@
         Some(entry)
     }
 
-    pub(super) fn drop_late(&mut self, cx: &mut RequestCx<'_>, answer: Option<AnswerNote>) {
+    pub(super) fn drop_late(&mut self, cx: &mut RequestCx<'_>, answer: Option<StoredAnswer>) {
         if let Some(answer) = answer {
             self.counts.late_answers += 1;
             cx.out.push(Output::ForgetAnswer { answer: answer.id });
@@ -38,7 +38,7 @@
     }
 
     /// Ends a request, and all that wait for the same ticket, with an answer.
-    pub(super) fn answer(&mut self, cx: &mut RequestCx<'_>, request: RequestId, answer: AnswerNote) {
+    pub(super) fn answer(&mut self, cx: &mut RequestCx<'_>, request: RequestId, answer: StoredAnswer) {
         let Some(entry) = self.remove(request) else { return };
         self.reply_answer(cx, request, &entry, answer.id);
         let Some(serial) = entry.serial else {
--- a/crates/core/src/tickets.rs
+++ b/crates/core/src/tickets.rs
@@ -21,8 +21,8 @@
 
 use crate::Timestamp;
 use crate::event::AnswerId;
-use crate::event::AnswerNote;
 use crate::event::RequestId;
+use crate::event::StoredAnswer;
 use crate::invariants::Invariant;
 use crate::invariants::InvariantCounters;
 use crate::maps::Map;
@@ -108,7 +108,7 @@
     /// The request runs; these others wait for the same answer.
     Running { waiting: Vec<RequestId> },
     /// The answer is kept.
-    Answered(AnswerNote),
+    Answered(StoredAnswer),
     /// It ran, and the answer is no longer kept.
     AnswerDropped,
     /// It may have run, and nothing more will be known.
@@ -170,7 +170,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RunOutcome {
     /// With an answer.
-    Answered(AnswerNote),
+    Answered(StoredAnswer),
     /// Without running: the ticket may be presented again.
     NotRun,
     /// Nobody knows.
--- a/crates/core/tests/requests.rs
+++ b/crates/core/tests/requests.rs
@@ -50,7 +50,7 @@
     let ticket = issuer.issue(now, 5);
     let PresentOutcome::Run(serial) = issuer.present(now, &ticket, 5, 1) else { panic!("not redeemed") };
     assert_eq!(issuer.present(now, &ticket, 5, 2), PresentOutcome::Wait);
-    let answer = hawthornshift_core::event::AnswerNote { id: 40, size: 10 };
+    let answer = hawthornshift_core::event::StoredAnswer { id: 40, size: 10 };
     let end = hawthornshift_core::tickets::RunOutcome::Answered(answer);
     let settlement = issuer.finish_run(serial, end, &mut InvariantCounters::default());
     assert_eq!(settlement.waiting, [2]);
@@ -67,7 +67,7 @@
     let used = issuer.issue(now, 5);
     let unused = issuer.issue(now, 5);
     let PresentOutcome::Run(serial) = issuer.present(now, &used, 5, 1) else { panic!("not redeemed") };
-    let answer = hawthornshift_core::event::AnswerNote { id: 1, size: 2_000 };
+    let answer = hawthornshift_core::event::StoredAnswer { id: 1, size: 2_000 };
     let end = hawthornshift_core::tickets::RunOutcome::Answered(answer);
     assert_eq!(issuer.finish_run(serial, end, &mut invariant_counters).dropped, [1]);
     assert_eq!(issuer.present(now, &used, 5, 2), PresentOutcome::AnswerGone);
--- a/crates/core/tests/support/world.rs
+++ b/crates/core/tests/support/world.rs
@@ -25,7 +25,6 @@
 use hawthornshift_core::Output;
 use hawthornshift_core::Timestamp;
 use hawthornshift_core::Tuning;
-use hawthornshift_core::event::AnswerNote;
 use hawthornshift_core::event::AttemptNumber;
 use hawthornshift_core::event::Channel;
 use hawthornshift_core::event::HealthReport;
@@ -36,6 +35,7 @@
 use hawthornshift_core::event::Reply;
 use hawthornshift_core::event::RequestId;
 use hawthornshift_core::event::Resource;
+use hawthornshift_core::event::StoredAnswer;
 use hawthornshift_core::membership::Identity;
 use hawthornshift_core::message::Envelope;
 use hawthornshift_core::message::ForwardHead;
@@ -754,16 +754,16 @@
     }
 
     /// Makes the answer to the order that an instance's request carries.
-    fn answer_of(&mut self, id: InstanceId, request: RequestId) -> Option<AnswerNote> {
+    fn answer_of(&mut self, id: InstanceId, request: RequestId) -> Option<StoredAnswer> {
         let order = self.hosts.get(&id)?.origins.get(&request)?.1;
         self.keep_answer(id, order)
     }
 
-    fn keep_answer(&mut self, id: InstanceId, order: OrderId) -> Option<AnswerNote> {
+    fn keep_answer(&mut self, id: InstanceId, order: OrderId) -> Option<StoredAnswer> {
         self.next_event += 1;
         let answer = self.next_event;
         self.hosts.get_mut(&id)?.answers.insert(answer, order);
-        Some(AnswerNote { id: answer, size: 100 })
+        Some(StoredAnswer { id: answer, size: 100 })
     }
 
     // Requests.
