--- a/crates/adapters/src/engine.rs
+++ b/crates/adapters/src/engine.rs
@@ -191,7 +191,7 @@
             }
             Output::Cancel { request } => self.cancel(request),
             Output::Reply { request, reply } => self.reply(request, reply),
-            Output::ForgetAnswer { answer } => {
+            Output::ReleaseAnswer { answer } => {
                 lock(&self.answers).remove(&answer);
             }
             Output::ConnectStream { stream, address } => self.order(stream, Order::Connect(address)),
--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -235,7 +235,7 @@
         reply: Reply,
     },
     /// Drop an answer that was kept for retries.
-    ForgetAnswer {
+    ReleaseAnswer {
         /// The answer.
         answer: AnswerId,
     },
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -278,7 +278,7 @@
 
     fn tick_requests(&mut self, now: Timestamp, out: &mut Vec<Output>) {
         let dropped = self.tickets.expire(now);
-        out.extend(dropped.into_iter().map(|answer| Output::ForgetAnswer { answer }));
+        out.extend(dropped.into_iter().map(|answer| Output::ReleaseAnswer { answer }));
         let (requests, mut cx) = self.request_cx(now, out);
         requests.expire(&mut cx);
     }
--- a/crates/core/src/requests/outcome.rs
+++ b/crates/core/src/requests/outcome.rs
@@ -33,7 +33,7 @@
     pub(super) fn drop_late(&mut self, cx: &mut RequestCx<'_>, answer: Option<StoredAnswer>) {
         if let Some(answer) = answer {
             self.counts.late_answers += 1;
-            cx.out.push(Output::ForgetAnswer { answer: answer.id });
+            cx.out.push(Output::ReleaseAnswer { answer: answer.id });
         }
     }
 
@@ -42,14 +42,14 @@
         let Some(entry) = self.remove(request) else { return };
         self.reply_answer(cx, request, &entry, answer.id);
         let Some(serial) = entry.serial else {
-            cx.out.push(Output::ForgetAnswer { answer: answer.id });
+            cx.out.push(Output::ReleaseAnswer { answer: answer.id });
             return;
         };
         let settlement = cx.tickets.finish_run(serial, RunOutcome::Answered(answer), cx.invariant_counters);
         for waiter in settlement.waiting {
             self.answer_kept(cx, waiter, answer.id);
         }
-        cx.out.extend(settlement.dropped.into_iter().map(|answer| Output::ForgetAnswer { answer }));
+        cx.out.extend(settlement.dropped.into_iter().map(|answer| Output::ReleaseAnswer { answer }));
     }
 
     /// Ends a request with an answer that is kept under its ticket.
--- a/crates/core/tests/support/world.rs
+++ b/crates/core/tests/support/world.rs
@@ -558,7 +558,7 @@
                 self.after(delay, Event::Execute { id, life, request, attempt, target: address });
             }
             Output::Reply { request, reply } => self.reply(id, request, &reply),
-            Output::ForgetAnswer { answer } => {
+            Output::ReleaseAnswer { answer } => {
                 host.answers.remove(&answer);
             }
             Output::Stopped | Output::Superseded => {
