--- a/crates/adapters/src/engine.rs
+++ b/crates/adapters/src/engine.rs
@@ -179,7 +179,7 @@
                 let engine = Arc::clone(self);
                 self.spawn(async move { engine.probe(target, address).await });
             }
-            Output::Pass { request, to, address, head } => {
+            Output::ForwardRequest { request, to, address, head } => {
                 let engine = Arc::clone(self);
                 self.attempt(request, |whole| async move { engine.pass(request, to, address, head, whole).await });
             }
--- a/crates/adapters/src/peers.rs
+++ b/crates/adapters/src/peers.rs
@@ -117,7 +117,7 @@
             return Ok(refused(Verdict::NotRun, Reason::ConnectionBroken));
         }
         let PassCall { from, head, request, .. } = call;
-        let (_, ending) = self.engine.admit(request, |request| Input::PassArrived { request, from, head });
+        let (_, ending) = self.engine.admit(request, |request| Input::ForwardedRequestArrived { request, from, head });
         let Ok(ending) = ending.await else {
             return Ok(refused(Verdict::MayHaveRun, Reason::Stopping));
         };
@@ -230,9 +230,9 @@
                     PassOutcome::Answered(answer) => Ok(self.keep_answer(answer)),
                     PassOutcome::Refused(refusal) => Err(refusal),
                 };
-                Input::PassEnded { request, result, free }
+                Input::ForwardedRequestEnded { request, result, free }
             }
-            Err(error) => Input::PassFailed { request, verdict: verdict(&error) },
+            Err(error) => Input::ForwardedRequestFailed { request, verdict: verdict(&error) },
         };
         self.feed(input);
     }
--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -102,7 +102,7 @@
         timeout: Option<Duration>,
     },
     /// A request came from another instance.
-    PassArrived {
+    ForwardedRequestArrived {
         /// Its number here.
         request: RequestId,
         /// Who passed it.
@@ -111,7 +111,7 @@
         head: PassHead,
     },
     /// The instance that a request was passed to said how it ended.
-    PassEnded {
+    ForwardedRequestEnded {
         /// The request.
         request: RequestId,
         /// How.
@@ -120,7 +120,7 @@
         free: Option<u32>,
     },
     /// The instance that a request was passed to said nothing.
-    PassFailed {
+    ForwardedRequestFailed {
         /// The request.
         request: RequestId,
         /// "Not run" only if nothing of the request has left.
@@ -201,7 +201,7 @@
         address: SocketAddr,
     },
     /// Pass a request to another instance and put in how it ended.
-    Pass {
+    ForwardRequest {
         /// The request.
         request: RequestId,
         /// To whom.
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -201,9 +201,9 @@
             Input::RequestArrived { request, service, idempotent, ticket, timeout } => {
                 requests.arrived(cx, request, service, idempotent, ticket.as_deref(), timeout);
             }
-            Input::PassArrived { request, head, .. } => requests.passed(cx, request, &head),
-            Input::PassEnded { request, result, free } => requests.pass_ended(cx, request, result, free),
-            Input::PassFailed { request, verdict } => requests.pass_failed(cx, request, verdict),
+            Input::ForwardedRequestArrived { request, head, .. } => requests.passed(cx, request, &head),
+            Input::ForwardedRequestEnded { request, result, free } => requests.pass_ended(cx, request, result, free),
+            Input::ForwardedRequestFailed { request, verdict } => requests.pass_failed(cx, request, verdict),
             Input::TargetAnswered { request, attempt, answer } => {
                 requests.target_answered(cx, request, attempt, answer);
             }
--- a/crates/core/src/requests/mod.rs
+++ b/crates/core/src/requests/mod.rs
@@ -330,7 +330,7 @@
         entry.stage = Stage::AtIssuer;
         let purpose = PassPurpose::Redeem { ticket: text.to_owned() };
         let head = entry.pass_head(cx.now, purpose);
-        cx.out.push(Output::Pass { request, to: ticket.issuer, address, head });
+        cx.out.push(Output::ForwardRequest { request, to: ticket.issuer, address, head });
     }
 
     /// Redeems a ticket issued here.
@@ -385,7 +385,7 @@
         entry.exposed = true;
         let head = entry.pass_head(cx.now, PassPurpose::Keep);
         self.routing.passed(coordinator, entry.group);
-        cx.out.push(Output::Pass { request, to: coordinator, address, head });
+        cx.out.push(Output::ForwardRequest { request, to: coordinator, address, head });
     }
 
     /// Gives a request a slot of a target kept here, or a place in the queue.
--- a/crates/core/tests/support/world.rs
+++ b/crates/core/tests/support/world.rs
@@ -256,7 +256,7 @@
         // Whoever has passed a request there sees the connection break.
         for (origin, _) in host.origins.into_values() {
             let Origin::Peer { from, life, request } = origin else { continue };
-            let input = Box::new(Input::PassFailed { request, verdict: Verdict::MayHaveRun });
+            let input = Box::new(Input::ForwardedRequestFailed { request, verdict: Verdict::MayHaveRun });
             self.after(Duration::from_millis(1), Event::Deliver { id: from, life, input });
         }
     }
@@ -548,7 +548,7 @@
                 }
             }
             Output::Probe { target, address } => self.probe(id, target, address),
-            Output::Pass { request, to, address, head } => {
+            Output::ForwardRequest { request, to, address, head } => {
                 let delay = self.delay();
                 let pass = Event::Pass { from: id, life, request, address, to, head: Box::new(head) };
                 self.after(delay, pass);
@@ -785,10 +785,10 @@
             Some(reached) if self.is_cut(from, reached) => {}
             Some(reached) if reached == to => {
                 let origin = Origin::Peer { from, life, request };
-                self.admit(reached, origin, order, |request| Input::PassArrived { request, from, head });
+                self.admit(reached, origin, order, |request| Input::ForwardedRequestArrived { request, from, head });
             }
             _ => {
-                let input = Box::new(Input::PassFailed { request, verdict: Verdict::NotRun });
+                let input = Box::new(Input::ForwardedRequestFailed { request, verdict: Verdict::NotRun });
                 self.after(Duration::from_millis(1), Event::Deliver { id: from, life, input });
             }
         }
@@ -822,7 +822,7 @@
                     }
                     Reply::Refuse { refusal, free, .. } => (Err(*refusal), *free),
                 };
-                let input = Box::new(Input::PassEnded { request, result, free });
+                let input = Box::new(Input::ForwardedRequestEnded { request, result, free });
                 let delay = self.delay();
                 self.after(delay, Event::Deliver { id: from, life, input });
             }
