--- a/crates/adapters/src/peers.rs
+++ b/crates/adapters/src/peers.rs
@@ -32,8 +32,8 @@
 use hawthornshift_core::event::Reply;
 use hawthornshift_core::event::RequestId;
 use hawthornshift_core::message::Envelope;
+use hawthornshift_core::message::ForwardedRequestHeader;
 use hawthornshift_core::message::MemberUpdate;
-use hawthornshift_core::message::PassHead;
 use hawthornshift_core::message::Reason;
 use hawthornshift_core::message::Refusal;
 use hawthornshift_model::InstanceId;
@@ -56,7 +56,7 @@
 pub struct PassCall {
     from: InstanceId,
     to: InstanceId,
-    head: PassHead,
+    head: ForwardedRequestHeader,
     request: Request,
 }
 
@@ -216,7 +216,7 @@
         request: RequestId,
         to: InstanceId,
         address: SocketAddr,
-        head: PassHead,
+        head: ForwardedRequestHeader,
         whole: Arc<Request>,
     ) {
         let call = PassCall { from: self.config.id, to, head, request: whole.as_ref().clone() };
--- a/crates/adapters/src/wire.rs
+++ b/crates/adapters/src/wire.rs
@@ -2,7 +2,7 @@
 
 use thiserror::Error;
 
-use hawthornshift_core::message::ForwardHead;
+use hawthornshift_core::message::ForwardedPacketHeader;
 
 /// Version of the format; a receiver drops others, so that a rolling upgrade never misreads a packet.
 const VERSION: u8 = 1;
@@ -30,7 +30,7 @@
 /// # Errors
 ///
 /// Fails when the payload is so large that the head no longer fits.
-pub fn encode(head: &ForwardHead, payload: &[u8], buf: &mut Vec<u8>) -> Result<(), WireError> {
+pub fn encode(head: &ForwardedPacketHeader, payload: &[u8], buf: &mut Vec<u8>) -> Result<(), WireError> {
     buf.clear();
     buf.push(VERSION);
     let written = postcard::to_extend(head, std::mem::take(buf)).map_err(|_| WireError::Head)?;
@@ -44,7 +44,7 @@
 /// # Errors
 ///
 /// Fails on anything that [`encode`] has not written.
-pub fn decode(packet: &[u8]) -> Result<(ForwardHead, &[u8]), WireError> {
+pub fn decode(packet: &[u8]) -> Result<(ForwardedPacketHeader, &[u8]), WireError> {
     let (version, rest) = packet.split_first().ok_or(WireError::Version)?;
     if *version != VERSION {
         return Err(WireError::Version);
--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -11,9 +11,9 @@
 use strum::IntoStaticStr;
 
 use crate::message::Envelope;
-use crate::message::ForwardHead;
+use crate::message::ForwardedPacketHeader;
+use crate::message::ForwardedRequestHeader;
 use crate::message::MemberUpdate;
-use crate::message::PassHead;
 use crate::message::Refusal;
 use hawthornshift_model::CheckedSet;
 use hawthornshift_model::InstanceId;
@@ -52,7 +52,7 @@
         caller: SocketAddr,
     },
     /// A packet came from another instance.
-    ForwardedPacket(ForwardHead),
+    ForwardedPacket(ForwardedPacketHeader),
     /// A packet came from a target.
     TargetPacket {
         /// The target's address.
@@ -108,7 +108,7 @@
         /// Who passed it.
         from: InstanceId,
         /// What is asked.
-        head: PassHead,
+        head: ForwardedRequestHeader,
     },
     /// The instance that a request was passed to said how it ended.
     ForwardedRequestEnded {
@@ -209,7 +209,7 @@
         /// Where.
         address: SocketAddr,
         /// What to ask.
-        head: PassHead,
+        head: ForwardedRequestHeader,
     },
     /// Send a request to a target and put in how it ended.
     Execute {
@@ -276,7 +276,7 @@
         /// Where to.
         address: SocketAddr,
         /// The head to send with it.
-        head: ForwardHead,
+        head: ForwardedPacketHeader,
     },
     /// Send it to a caller from the service's address.
     ToCaller {
--- a/crates/core/src/flows/mod.rs
+++ b/crates/core/src/flows/mod.rs
@@ -45,7 +45,7 @@
 use crate::invariants::InvariantCounters;
 use crate::membership::Membership;
 use crate::message::FlowBatch;
-use crate::message::ForwardHead;
+use crate::message::ForwardedPacketHeader;
 use crate::message::Purpose;
 use crate::message::TargetNote;
 use crate::rendezvous;
@@ -207,13 +207,13 @@
     pub fn forwarded_packet(
         &mut self,
         now: Timestamp,
-        head: &ForwardHead,
+        head: &ForwardedPacketHeader,
         cx: FlowContext<'_>,
         invariant_counters: &mut InvariantCounters,
     ) -> PacketFate {
         invariant_counters.assert(head.hops_left <= MAX_HOPS, Invariant::ForwardingEnds);
         let key = FlowKey { service: head.service, caller: head.caller };
-        let ForwardHead { from, purpose, .. } = *head;
+        let ForwardedPacketHeader { from, purpose, .. } = *head;
         let packet = Packet { now, key, from: Some(from), hops_left: head.hops_left.min(MAX_HOPS), purpose };
         self.decide(packet, cx, invariant_counters)
     }
@@ -353,7 +353,7 @@
         let hops_left = packet.hops_left.checked_sub(1)?;
         self.counts.forwarded += 1;
         let FlowKey { service, caller } = packet.key;
-        let head = ForwardHead { from: self.me, service, caller, hops_left, purpose };
+        let head = ForwardedPacketHeader { from: self.me, service, caller, hops_left, purpose };
         Some(PacketFate::Forward { address, head })
     }
 
--- a/crates/core/src/message.rs
+++ b/crates/core/src/message.rs
@@ -250,7 +250,7 @@
 /// Head of a packet forwarded between instances.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct ForwardHead {
+pub struct ForwardedPacketHeader {
     /// The sender.
     pub from: InstanceId,
     /// The service that the caller addressed.
@@ -286,7 +286,7 @@
 /// A request passed to the instance that issued its ticket or that keeps targets for it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct PassHead {
+pub struct ForwardedRequestHeader {
     /// The service.
     pub service: ServiceId,
     /// What the receiver is asked to do.
--- a/crates/core/src/requests/mod.rs
+++ b/crates/core/src/requests/mod.rs
@@ -38,7 +38,7 @@
 use crate::invariants::InvariantCounters;
 use crate::maps::Map;
 use crate::membership::Membership;
-use crate::message::PassHead;
+use crate::message::ForwardedRequestHeader;
 use crate::message::PassPurpose;
 use crate::message::Reason;
 use crate::message::Refusal;
@@ -251,7 +251,7 @@
     }
 
     /// Takes a request from another instance.
-    pub fn passed(&mut self, cx: &mut RequestCx<'_>, request: RequestId, head: &PassHead) {
+    pub fn passed(&mut self, cx: &mut RequestCx<'_>, request: RequestId, head: &ForwardedRequestHeader) {
         self.counts.passed_in += 1;
         let part = match head.purpose {
             PassPurpose::Redeem { .. } => Part::Issuer,
@@ -611,9 +611,9 @@
 }
 
 impl Entry {
-    fn pass_head(&self, now: Timestamp, purpose: PassPurpose) -> PassHead {
+    fn pass_head(&self, now: Timestamp, purpose: PassPurpose) -> ForwardedRequestHeader {
         let time_left = self.deadline.saturating_sub(now).saturating_sub(HOP_MARGIN);
-        PassHead { service: self.service, purpose, idempotent: self.idempotent, time_left }
+        ForwardedRequestHeader { service: self.service, purpose, idempotent: self.idempotent, time_left }
     }
 }
 
--- a/crates/core/tests/support/world.rs
+++ b/crates/core/tests/support/world.rs
@@ -38,8 +38,8 @@
 use hawthornshift_core::event::StoredAnswer;
 use hawthornshift_core::membership::Identity;
 use hawthornshift_core::message::Envelope;
-use hawthornshift_core::message::ForwardHead;
-use hawthornshift_core::message::PassHead;
+use hawthornshift_core::message::ForwardedPacketHeader;
+use hawthornshift_core::message::ForwardedRequestHeader;
 use hawthornshift_core::message::Reason;
 use hawthornshift_core::message::Refusal;
 use hawthornshift_core::node::TICK;
@@ -85,17 +85,63 @@
 
 #[derive(Clone, Debug)]
 enum Event {
-    Tick { id: InstanceId, life: u64 },
-    Deliver { id: InstanceId, life: u64, input: Box<Input> },
-    Message { address: SocketAddr, from: InstanceId, envelope: Box<Envelope> },
-    Forwarded { address: SocketAddr, head: ForwardHead },
-    AtTarget { target: SocketAddr, service: ServiceId, caller: SocketAddr, from: InstanceId, channel: Channel },
-    Pass { from: InstanceId, life: u64, request: RequestId, address: SocketAddr, to: InstanceId, head: Box<PassHead> },
-    Execute { id: InstanceId, life: u64, request: RequestId, attempt: AttemptNumber, target: SocketAddr },
-    TargetDone { id: InstanceId, life: u64, request: RequestId, attempt: AttemptNumber, target: SocketAddr },
-    TryOrder { order: OrderId },
-    OrderSilent { order: OrderId, tries: u32 },
-    FlowPacket { caller: SocketAddr },
+    Tick {
+        id: InstanceId,
+        life: u64,
+    },
+    Deliver {
+        id: InstanceId,
+        life: u64,
+        input: Box<Input>,
+    },
+    Message {
+        address: SocketAddr,
+        from: InstanceId,
+        envelope: Box<Envelope>,
+    },
+    Forwarded {
+        address: SocketAddr,
+        head: ForwardedPacketHeader,
+    },
+    AtTarget {
+        target: SocketAddr,
+        service: ServiceId,
+        caller: SocketAddr,
+        from: InstanceId,
+        channel: Channel,
+    },
+    Pass {
+        from: InstanceId,
+        life: u64,
+        request: RequestId,
+        address: SocketAddr,
+        to: InstanceId,
+        head: Box<ForwardedRequestHeader>,
+    },
+    Execute {
+        id: InstanceId,
+        life: u64,
+        request: RequestId,
+        attempt: AttemptNumber,
+        target: SocketAddr,
+    },
+    TargetDone {
+        id: InstanceId,
+        life: u64,
+        request: RequestId,
+        attempt: AttemptNumber,
+        target: SocketAddr,
+    },
+    TryOrder {
+        order: OrderId,
+    },
+    OrderSilent {
+        order: OrderId,
+        tries: u32,
+    },
+    FlowPacket {
+        caller: SocketAddr,
+    },
 }
 
 /// For whom an instance handles a request.
@@ -582,7 +628,7 @@
         }
     }
 
-    fn forwarded(&mut self, address: SocketAddr, head: ForwardHead) {
+    fn forwarded(&mut self, address: SocketAddr, head: ForwardedPacketHeader) {
         if let Some(to) = self.host_at(address).filter(|to| !self.is_cut(head.from, *to)) {
             self.feed(to, Input::ForwardedPacket(head));
         }
@@ -775,7 +821,7 @@
         request: RequestId,
         address: SocketAddr,
         to: InstanceId,
-        head: PassHead,
+        head: ForwardedRequestHeader,
     ) {
         let Some(order) = self.hosts.get(&from).and_then(|host| host.origins.get(&request)).map(|(_, order)| *order)
         else {
