--- a/crates/adapters/tests/wire.rs
+++ b/crates/adapters/tests/wire.rs
@@ -11,11 +11,11 @@
 
 use hawthornshift_adapters::wire;
 use hawthornshift_adapters::wire::MAX_HEAD_BYTES;
+use hawthornshift_core::message::ForwardPurpose;
 use hawthornshift_core::message::ForwardedPacketHeader;
-use hawthornshift_core::message::Purpose;
 
 fn head(service: u64, caller: SocketAddr, hops_left: u8, position: u8) -> ForwardedPacketHeader {
-    ForwardedPacketHeader { from: 7, service, caller, hops_left, purpose: Purpose::Ask { position } }
+    ForwardedPacketHeader { from: 7, service, caller, hops_left, purpose: ForwardPurpose::Ask { position } }
 }
 
 proptest! {
--- a/crates/core/src/flows/mod.rs
+++ b/crates/core/src/flows/mod.rs
@@ -45,8 +45,8 @@
 use crate::invariants::InvariantCounters;
 use crate::membership::Membership;
 use crate::message::FlowBatch;
+use crate::message::ForwardPurpose;
 use crate::message::ForwardedPacketHeader;
-use crate::message::Purpose;
 use crate::message::TargetNote;
 use crate::rendezvous;
 use crate::slow_start::SlowStartLimit;
@@ -110,20 +110,20 @@
     key: FlowKey,
     from: Option<InstanceId>,
     hops_left: u8,
-    purpose: Purpose,
+    purpose: ForwardPurpose,
 }
 
 impl Packet {
     /// Returns which of the earlier homes is asked next.
     fn next_position(&self) -> u8 {
         match self.purpose {
-            Purpose::Return { position } => position.saturating_add(1),
+            ForwardPurpose::Return { position } => position.saturating_add(1),
             _ => 0,
         }
     }
 
     fn is_returned(&self) -> bool {
-        matches!(self.purpose, Purpose::Return { .. })
+        matches!(self.purpose, ForwardPurpose::Return { .. })
     }
 }
 
@@ -199,7 +199,7 @@
         cx: FlowContext<'_>,
         invariant_counters: &mut InvariantCounters,
     ) -> PacketFate {
-        let packet = Packet { now, key, from: None, hops_left: MAX_HOPS, purpose: Purpose::ToHome };
+        let packet = Packet { now, key, from: None, hops_left: MAX_HOPS, purpose: ForwardPurpose::ToHome };
         self.decide(packet, cx, invariant_counters)
     }
 
@@ -292,16 +292,16 @@
 
     /// Sends a packet on to the instance that holds its flow, or forgets a holder that is gone.
     fn send_to_holder(&mut self, packet: Packet, holder: InstanceId, cx: FlowContext<'_>) -> Option<PacketFate> {
-        if let (Purpose::Ask { position }, true) = (packet.purpose, packet.from == Some(holder)) {
+        if let (ForwardPurpose::Ask { position }, true) = (packet.purpose, packet.from == Some(holder)) {
             // The holder has woken from a pause and asks whether anyone else has taken the flow: nobody has.
-            return self.forward(packet, holder, Purpose::Return { position }, cx);
+            return self.forward(packet, holder, ForwardPurpose::Return { position }, cx);
         }
         let usable = may_get_packets(packet.now, holder, cx) && packet.hops_left > 0 && packet.from != Some(holder);
         if !usable {
             self.table.remove(packet.now, &packet.key);
             return None;
         }
-        self.forward(packet, holder, Purpose::ToHolder, cx)
+        self.forward(packet, holder, ForwardPurpose::ToHolder, cx)
     }
 
     /// Decides on a packet whose flow is not known here.
@@ -313,8 +313,8 @@
         invariant_counters: &mut InvariantCounters,
     ) -> PacketFate {
         let hash = packet.key.hash64();
-        if let (Purpose::Ask { position }, Some(asker)) = (packet.purpose, packet.from) {
-            let fate = self.forward(packet, asker, Purpose::Return { position }, cx);
+        if let (ForwardPurpose::Ask { position }, Some(asker)) = (packet.purpose, packet.from) {
+            let fate = self.forward(packet, asker, ForwardPurpose::Return { position }, cx);
             return fate.unwrap_or_else(|| self.drop(DropReason::TooManyHops));
         }
         let Some(home) = cx.view.home(hash, service) else {
@@ -323,7 +323,7 @@
         if home != self.me
             && packet.hops_left > 0
             && !packet.is_returned()
-            && let Some(fate) = self.forward(packet, home, Purpose::ToHome, cx)
+            && let Some(fate) = self.forward(packet, home, ForwardPurpose::ToHome, cx)
         {
             return fate;
         }
@@ -343,12 +343,18 @@
         let mut candidates = candidates.into_iter().enumerate().skip(packet.next_position().into());
         let (position, earlier) = candidates.find(|(_, earlier)| may_get_packets(packet.now, *earlier, cx))?;
         let position = u8::try_from(position).ok()?;
-        let fate = self.forward(packet, earlier, Purpose::Ask { position }, cx)?;
+        let fate = self.forward(packet, earlier, ForwardPurpose::Ask { position }, cx)?;
         self.counts.asked += 1;
         Some(fate)
     }
 
-    fn forward(&mut self, packet: Packet, to: InstanceId, purpose: Purpose, cx: FlowContext<'_>) -> Option<PacketFate> {
+    fn forward(
+        &mut self,
+        packet: Packet,
+        to: InstanceId,
+        purpose: ForwardPurpose,
+        cx: FlowContext<'_>,
+    ) -> Option<PacketFate> {
         let address = cx.members.member(to)?.forward;
         let hops_left = packet.hops_left.checked_sub(1)?;
         self.counts.forwarded += 1;
--- a/crates/core/src/message.rs
+++ b/crates/core/src/message.rs
@@ -260,13 +260,13 @@
     /// Hops that are left; each receiver lowers it, so that no pair of views can make a loop.
     pub hops_left: u8,
     /// Why it was forwarded.
-    pub purpose: Purpose,
+    pub purpose: ForwardPurpose,
 }
 
 /// Why a packet was forwarded.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
-pub enum Purpose {
+pub enum ForwardPurpose {
     /// The receiver is the flow's home in the sender's view.
     ToHome,
     /// The sender was told that the receiver holds the flow.
