--- a/crates/adapters/src/datagrams.rs
+++ b/crates/adapters/src/datagrams.rs
@@ -20,7 +20,7 @@
 use crate::wire;
 use hawthornshift_core::Input;
 use hawthornshift_core::event::Channel;
-use hawthornshift_core::event::PacketFate;
+use hawthornshift_core::event::PacketAction;
 use hawthornshift_model::ServiceId;
 
 /// Packets that were lost at a socket.
@@ -126,14 +126,14 @@
     }
 
     /// Does what was decided about a packet.
-    fn follow(self: &Arc<Self>, fate: Option<PacketFate>, payload: &[u8]) {
+    fn follow(self: &Arc<Self>, fate: Option<PacketAction>, payload: &[u8]) {
         match fate {
-            Some(PacketFate::ToTarget { channel, target }) => {
+            Some(PacketAction::ToTarget { channel, target }) => {
                 if let Some(socket) = self.channel(channel) {
                     self.datagrams.send(&socket, payload, target);
                 }
             }
-            Some(PacketFate::Forward { address, head }) => {
+            Some(PacketAction::Forward { address, head }) => {
                 let mut buf = Vec::with_capacity(payload.len() + wire::MAX_HEAD_BYTES);
                 if wire::encode(&head, payload, &mut buf).is_ok() {
                     self.datagrams.send(&self.datagrams.forward, &buf, address);
@@ -141,12 +141,12 @@
                     self.datagrams.counts.too_large.fetch_add(1, Ordering::Relaxed);
                 }
             }
-            Some(PacketFate::ToCaller { service, caller }) => {
+            Some(PacketAction::ToCaller { service, caller }) => {
                 if let Some(socket) = self.datagrams.service(service) {
                     self.datagrams.send(&socket, payload, caller);
                 }
             }
-            Some(PacketFate::Drop(_)) | None => {}
+            Some(PacketAction::Drop(_)) | None => {}
         }
     }
 
--- a/crates/adapters/src/engine.rs
+++ b/crates/adapters/src/engine.rs
@@ -37,7 +37,7 @@
 use hawthornshift_core::Output;
 use hawthornshift_core::Timestamp;
 use hawthornshift_core::event::AnswerId;
-use hawthornshift_core::event::PacketFate;
+use hawthornshift_core::event::PacketAction;
 use hawthornshift_core::event::Reply;
 use hawthornshift_core::event::RequestId;
 use hawthornshift_core::event::StoredAnswer;
@@ -151,7 +151,7 @@
     }
 
     /// Feeds a packet and returns what becomes of it.
-    pub fn feed_packet(self: &Arc<Self>, input: Input) -> Option<PacketFate> {
+    pub fn feed_packet(self: &Arc<Self>, input: Input) -> Option<PacketAction> {
         let mut out = Vec::with_capacity(1);
         let mut node = lock(&self.node);
         let now = self.now();
--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -183,7 +183,7 @@
 #[derive(Clone, Debug)]
 pub enum Output {
     /// What becomes of the packet that was just put in.
-    Packet(PacketFate),
+    Packet(PacketAction),
     /// Send a message; one to the sender of the message just put in may travel as the answer to it.
     ToPeer {
         /// Where to.
@@ -263,7 +263,7 @@
 
 /// What becomes of one packet.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum PacketFate {
+pub enum PacketAction {
     /// Send it to a target.
     ToTarget {
         /// The local port to send from.
--- a/crates/core/src/flows/mod.rs
+++ b/crates/core/src/flows/mod.rs
@@ -38,7 +38,7 @@
 use crate::catalog::TargetEntry;
 use crate::event::Channel;
 use crate::event::DropReason;
-use crate::event::PacketFate;
+use crate::event::PacketAction;
 use crate::health::TargetStatus;
 use crate::health::TargetStatusCache;
 use crate::invariants::Invariant;
@@ -198,7 +198,7 @@
         key: FlowKey,
         cx: FlowContext<'_>,
         invariant_counters: &mut InvariantCounters,
-    ) -> PacketFate {
+    ) -> PacketAction {
         let packet = Packet { now, key, from: None, hops_left: MAX_HOPS, purpose: ForwardPurpose::ToHome };
         self.decide(packet, cx, invariant_counters)
     }
@@ -210,7 +210,7 @@
         head: &ForwardedPacketHeader,
         cx: FlowContext<'_>,
         invariant_counters: &mut InvariantCounters,
-    ) -> PacketFate {
+    ) -> PacketAction {
         invariant_counters.assert(head.hops_left <= MAX_HOPS, Invariant::ForwardingEnds);
         let key = FlowKey { service: head.service, caller: head.caller };
         let ForwardedPacketHeader { from, purpose, .. } = *head;
@@ -223,9 +223,9 @@
         packet: Packet,
         cx: FlowContext<'_>,
         invariant_counters: &mut InvariantCounters,
-    ) -> PacketFate {
+    ) -> PacketAction {
         let fate = self.decide_unchecked(packet, cx, invariant_counters);
-        if let PacketFate::Forward { head, .. } = fate {
+        if let PacketAction::Forward { head, .. } = fate {
             invariant_counters.assert(head.hops_left < packet.hops_left, Invariant::ForwardingEnds);
         }
         fate
@@ -236,7 +236,7 @@
         packet: Packet,
         cx: FlowContext<'_>,
         invariant_counters: &mut InvariantCounters,
-    ) -> PacketFate {
+    ) -> PacketAction {
         let Some(service) = cx.view.catalog().service(packet.key.service) else {
             return self.drop(DropReason::UnknownService);
         };
@@ -256,7 +256,7 @@
         found: Found,
         cx: FlowContext<'_>,
         invariant_counters: &mut InvariantCounters,
-    ) -> Option<PacketFate> {
+    ) -> Option<PacketAction> {
         match found.holder {
             Holder::Here { seat, channel } => {
                 let asked = found.doubtful.then(|| self.ask_earlier_home(packet, packet.key.hash64(), cx));
@@ -274,7 +274,7 @@
         channel: Channel,
         cx: FlowContext<'_>,
         invariant_counters: &mut InvariantCounters,
-    ) -> Option<PacketFate> {
+    ) -> Option<PacketAction> {
         let seat = self.table.seat(seat);
         if seat.block().is_some() {
             self.table.remove(packet.now, &packet.key);
@@ -287,11 +287,11 @@
             let in_service = cx.view.catalog().domain_in_service(&seat.note().failure_domain);
             invariant_counters.assert(in_service, Invariant::OutDomainSilent);
         }
-        Some(PacketFate::ToTarget { channel, target: seat.note().address })
+        Some(PacketAction::ToTarget { channel, target: seat.note().address })
     }
 
     /// Sends a packet on to the instance that holds its flow, or forgets a holder that is gone.
-    fn send_to_holder(&mut self, packet: Packet, holder: InstanceId, cx: FlowContext<'_>) -> Option<PacketFate> {
+    fn send_to_holder(&mut self, packet: Packet, holder: InstanceId, cx: FlowContext<'_>) -> Option<PacketAction> {
         if let (ForwardPurpose::Ask { position }, true) = (packet.purpose, packet.from == Some(holder)) {
             // The holder has woken from a pause and asks whether anyone else has taken the flow: nobody has.
             return self.forward(packet, holder, ForwardPurpose::Return { position }, cx);
@@ -311,7 +311,7 @@
         service: &ServiceEntry,
         cx: FlowContext<'_>,
         invariant_counters: &mut InvariantCounters,
-    ) -> PacketFate {
+    ) -> PacketAction {
         let hash = packet.key.hash64();
         if let (ForwardPurpose::Ask { position }, Some(asker)) = (packet.purpose, packet.from) {
             let fate = self.forward(packet, asker, ForwardPurpose::Return { position }, cx);
@@ -334,7 +334,7 @@
     }
 
     /// Sends the packet of an unknown flow to the next earlier home that may hold it.
-    fn ask_earlier_home(&mut self, packet: Packet, hash: u64, cx: FlowContext<'_>) -> Option<PacketFate> {
+    fn ask_earlier_home(&mut self, packet: Packet, hash: u64, cx: FlowContext<'_>) -> Option<PacketAction> {
         // The answer needs a hop of its own.
         if packet.hops_left < 2 {
             return None;
@@ -354,13 +354,13 @@
         to: InstanceId,
         purpose: ForwardPurpose,
         cx: FlowContext<'_>,
-    ) -> Option<PacketFate> {
+    ) -> Option<PacketAction> {
         let address = cx.members.member(to)?.forward;
         let hops_left = packet.hops_left.checked_sub(1)?;
         self.counts.forwarded += 1;
         let FlowKey { service, caller } = packet.key;
         let head = ForwardedPacketHeader { from: self.me, service, caller, hops_left, purpose };
-        Some(PacketFate::Forward { address, head })
+        Some(PacketAction::Forward { address, head })
     }
 
     /// Starts a flow here.
@@ -371,7 +371,7 @@
         service: &ServiceEntry,
         cx: FlowContext<'_>,
         invariant_counters: &mut InvariantCounters,
-    ) -> PacketFate {
+    ) -> PacketAction {
         let Some(target) = self.choose_target(packet.now, hash, service, cx) else {
             return self.drop(DropReason::NoTarget);
         };
@@ -383,7 +383,7 @@
         };
         self.counts.opened += 1;
         self.note_stray(hash, service, cx);
-        PacketFate::ToTarget { channel, target: target.address }
+        PacketAction::ToTarget { channel, target: target.address }
     }
 
     /// Has a flow told to its home if that is another instance.
@@ -431,7 +431,13 @@
     }
 
     /// Decides on a packet from a target.
-    pub fn target_packet(&mut self, now: Timestamp, target: SocketAddr, channel: Channel, fenced: bool) -> PacketFate {
+    pub fn target_packet(
+        &mut self,
+        now: Timestamp,
+        target: SocketAddr,
+        channel: Channel,
+        fenced: bool,
+    ) -> PacketAction {
         if fenced {
             return self.drop(DropReason::Fenced);
         }
@@ -445,12 +451,12 @@
         if let Some(ramp) = self.ramps.get_mut(&id) {
             ramp.record_success(1);
         }
-        PacketFate::ToCaller { service: key.service, caller: key.caller }
+        PacketAction::ToCaller { service: key.service, caller: key.caller }
     }
 
-    fn drop(&mut self, reason: DropReason) -> PacketFate {
+    fn drop(&mut self, reason: DropReason) -> PacketAction {
         *self.counts.dropped.entry(reason).or_default() += 1;
-        PacketFate::Drop(reason)
+        PacketAction::Drop(reason)
     }
 
     /// Takes note that the view has changed: the former one joins the chain, and all flows are looked at anew.
--- a/crates/core/tests/support/world.rs
+++ b/crates/core/tests/support/world.rs
@@ -30,7 +30,7 @@
 use hawthornshift_core::event::HealthReport;
 use hawthornshift_core::event::InstanceList;
 use hawthornshift_core::event::ListedInstance;
-use hawthornshift_core::event::PacketFate;
+use hawthornshift_core::event::PacketAction;
 use hawthornshift_core::event::PlatformRead;
 use hawthornshift_core::event::Reply;
 use hawthornshift_core::event::RequestId;
@@ -637,22 +637,22 @@
     fn follow(
         &mut self,
         id: InstanceId,
-        fate: PacketFate,
+        fate: PacketAction,
         caller: Option<(ServiceId, SocketAddr)>,
         answered: Option<SocketAddr>,
     ) {
         match fate {
-            PacketFate::ToTarget { channel, target } => {
+            PacketAction::ToTarget { channel, target } => {
                 let Some((service, caller)) = caller else { return };
                 self.transmit(Event::AtTarget { target, service, caller, from: id, channel });
             }
-            PacketFate::Forward { address, head } => self.transmit(Event::Forwarded { address, head }),
-            PacketFate::ToCaller { caller, .. } => {
+            PacketAction::Forward { address, head } => self.transmit(Event::Forwarded { address, head }),
+            PacketAction::ToCaller { caller, .. } => {
                 if let Some(target) = answered {
                     self.flow_answer(caller, target, id);
                 }
             }
-            PacketFate::Drop(_) => {}
+            PacketAction::Drop(_) => {}
         }
     }
 
