--- a/crates/adapters/src/datagrams.rs
+++ b/crates/adapters/src/datagrams.rs
@@ -19,7 +19,7 @@
 use crate::engine::Engine;
 use crate::wire;
 use hawthornshift_core::Input;
-use hawthornshift_core::event::Channel;
+use hawthornshift_core::event::LocalPort;
 use hawthornshift_core::event::PacketAction;
 use hawthornshift_model::ServiceId;
 
@@ -39,7 +39,7 @@
     forward: Arc<UdpSocket>,
     local: IpAddr,
     services: RwLock<HashMap<ServiceId, Arc<UdpSocket>>>,
-    channels: RwLock<HashMap<Channel, Arc<UdpSocket>>>,
+    channels: RwLock<HashMap<LocalPort, Arc<UdpSocket>>>,
     counts: SocketCounts,
 }
 
@@ -115,12 +115,12 @@
         }
     }
 
-    async fn serve_channel(self: Arc<Self>, channel: Channel, socket: Arc<UdpSocket>) {
+    async fn serve_channel(self: Arc<Self>, local_port: LocalPort, socket: Arc<UdpSocket>) {
         let mut buf = vec![0; wire::MAX_DATAGRAM_BYTES];
         loop {
             // A target that is gone shows as an error here; its flows end by silence.
             let Ok((len, target)) = socket.recv_from(&mut buf).await else { continue };
-            let fate = self.feed_packet(Input::TargetPacket { target, channel });
+            let fate = self.feed_packet(Input::TargetPacket { target, local_port });
             self.follow(fate, &buf[..len]);
         }
     }
@@ -128,8 +128,8 @@
     /// Does what was decided about a packet.
     fn follow(self: &Arc<Self>, fate: Option<PacketAction>, payload: &[u8]) {
         match fate {
-            Some(PacketAction::ToTarget { channel, target }) => {
-                if let Some(socket) = self.channel(channel) {
+            Some(PacketAction::ToTarget { local_port, target }) => {
+                if let Some(socket) = self.local_port(local_port) {
                     self.datagrams.send(&socket, payload, target);
                 }
             }
@@ -151,19 +151,19 @@
     }
 
     /// Returns the local port of a channel, opened when it is first used.
-    fn channel(self: &Arc<Self>, channel: Channel) -> Option<Arc<UdpSocket>> {
+    fn local_port(self: &Arc<Self>, local_port: LocalPort) -> Option<Arc<UdpSocket>> {
         let channels = &self.datagrams.channels;
-        if let Some(socket) = channels.read().unwrap_or_else(PoisonError::into_inner).get(&channel) {
+        if let Some(socket) = channels.read().unwrap_or_else(PoisonError::into_inner).get(&local_port) {
             return Some(Arc::clone(socket));
         }
         let mut channels = channels.write().unwrap_or_else(PoisonError::into_inner);
-        if let Some(socket) = channels.get(&channel) {
+        if let Some(socket) = channels.get(&local_port) {
             return Some(Arc::clone(socket));
         }
         let socket = self.open_channel().ok()?;
-        channels.insert(channel, Arc::clone(&socket));
+        channels.insert(local_port, Arc::clone(&socket));
         let engine = Arc::clone(self);
-        let task = engine.serve_channel(channel, Arc::clone(&socket));
+        let task = engine.serve_channel(local_port, Arc::clone(&socket));
         self.spawn(task);
         Some(socket)
     }
--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -35,7 +35,7 @@
 pub type AttemptNumber = u32;
 
 /// Local port, out of those that this instance uses towards targets, that tells one target's flows apart.
-pub type Channel = u16;
+pub type LocalPort = u16;
 
 /// Something that has happened.
 #[derive(Clone, Debug)]
@@ -58,7 +58,7 @@
         /// The target's address.
         target: SocketAddr,
         /// The channel it came on.
-        channel: Channel,
+        local_port: LocalPort,
     },
     /// A message came from another instance.
     PeerMessage(Box<Envelope>),
@@ -267,7 +267,7 @@
     /// Send it to a target.
     ToTarget {
         /// The local port to send from.
-        channel: Channel,
+        local_port: LocalPort,
         /// Where to.
         target: SocketAddr,
     },
--- a/crates/core/src/flows/mod.rs
+++ b/crates/core/src/flows/mod.rs
@@ -36,8 +36,8 @@
 use crate::catalog::Catalog;
 use crate::catalog::ServiceEntry;
 use crate::catalog::TargetEntry;
-use crate::event::Channel;
 use crate::event::DropReason;
+use crate::event::LocalPort;
 use crate::event::PacketAction;
 use crate::health::TargetStatus;
 use crate::health::TargetStatusCache;
@@ -258,9 +258,9 @@
         invariant_counters: &mut InvariantCounters,
     ) -> Option<PacketAction> {
         match found.holder {
-            Holder::Here { seat, channel } => {
+            Holder::Here { seat, local_port } => {
                 let asked = found.doubtful.then(|| self.ask_earlier_home(packet, packet.key.hash64(), cx));
-                asked.flatten().or_else(|| self.send_held(packet, seat, channel, cx, invariant_counters))
+                asked.flatten().or_else(|| self.send_held(packet, seat, local_port, cx, invariant_counters))
             }
             Holder::Instance(holder) => self.send_to_holder(packet, holder, cx),
         }
@@ -271,7 +271,7 @@
         &mut self,
         packet: Packet,
         seat: SeatIndex,
-        channel: Channel,
+        local_port: LocalPort,
         cx: FlowContext<'_>,
         invariant_counters: &mut InvariantCounters,
     ) -> Option<PacketAction> {
@@ -287,7 +287,7 @@
             let in_service = cx.view.catalog().domain_in_service(&seat.note().failure_domain);
             invariant_counters.assert(in_service, Invariant::OutDomainSilent);
         }
-        Some(PacketAction::ToTarget { channel, target: seat.note().address })
+        Some(PacketAction::ToTarget { local_port, target: seat.note().address })
     }
 
     /// Sends a packet on to the instance that holds its flow, or forgets a holder that is gone.
@@ -378,12 +378,12 @@
         invariant_counters.assert(!target.leaving, Invariant::LeavingTargetGetsNothing);
         invariant_counters.assert(cx.view.catalog().domains()[target.domain].in_service, Invariant::OutDomainSilent);
         let note = note(cx.view.catalog(), target);
-        let Some(channel) = self.table.insert_here(packet.now, packet.key, &note, 0) else {
+        let Some(local_port) = self.table.insert_here(packet.now, packet.key, &note, 0) else {
             return self.drop(DropReason::TableFull);
         };
         self.counts.opened += 1;
         self.note_stray(hash, service, cx);
-        PacketAction::ToTarget { channel, target: target.address }
+        PacketAction::ToTarget { local_port, target: target.address }
     }
 
     /// Has a flow told to its home if that is another instance.
@@ -435,13 +435,13 @@
         &mut self,
         now: Timestamp,
         target: SocketAddr,
-        channel: Channel,
+        local_port: LocalPort,
         fenced: bool,
     ) -> PacketAction {
         if fenced {
             return self.drop(DropReason::Fenced);
         }
-        let Some((key, seat)) = self.table.find_by_channel(now, target, channel, self.doubted) else {
+        let Some((key, seat)) = self.table.find_by_channel(now, target, local_port, self.doubted) else {
             return self.drop(DropReason::NoFlow);
         };
         if seat.block().is_some() {
--- a/crates/core/src/flows/table.rs
+++ b/crates/core/src/flows/table.rs
@@ -11,7 +11,7 @@
 
 use crate::Timestamp;
 use crate::catalog::Catalog;
-use crate::event::Channel;
+use crate::event::LocalPort;
 use crate::maps::Map;
 use crate::message::FlowNote;
 use crate::message::TargetNote;
@@ -48,7 +48,7 @@
         /// The target.
         seat: SeatIndex,
         /// The local port used towards it.
-        channel: Channel,
+        local_port: LocalPort,
     },
     /// Another instance, which has told so.
     Instance(InstanceId),
@@ -59,7 +59,7 @@
     Vacant,
     Here {
         seat: SeatIndex,
-        channel: Channel,
+        local_port: LocalPort,
     },
     Elsewhere {
         holder: InstanceId,
@@ -67,7 +67,7 @@
     /// Handed over; only answers of the target still pass.
     GivenAway {
         seat: SeatIndex,
-        channel: Channel,
+        local_port: LocalPort,
     },
 }
 
@@ -181,27 +181,27 @@
 #[derive(Clone, Debug, Default)]
 struct Ports {
     slots: Vec<Option<SlotIndex>>,
-    resting: VecDeque<(Channel, Timestamp)>,
+    resting: VecDeque<(LocalPort, Timestamp)>,
 }
 
 impl Ports {
-    fn take(&mut self, now: Timestamp, slot: SlotIndex) -> Option<Channel> {
-        let rested = |(_, since): &mut (Channel, Timestamp)| now.saturating_sub(*since) >= CHANNEL_REST;
-        if let Some((channel, _)) = self.resting.pop_front_if(rested) {
-            self.slots[usize::from(channel)] = Some(slot);
-            return Some(channel);
+    fn take(&mut self, now: Timestamp, slot: SlotIndex) -> Option<LocalPort> {
+        let rested = |(_, since): &mut (LocalPort, Timestamp)| now.saturating_sub(*since) >= CHANNEL_REST;
+        if let Some((local_port, _)) = self.resting.pop_front_if(rested) {
+            self.slots[usize::from(local_port)] = Some(slot);
+            return Some(local_port);
         }
         if self.slots.len() >= MAX_CHANNELS {
             return None;
         }
-        let channel = Channel::try_from(self.slots.len()).ok()?;
+        let local_port = LocalPort::try_from(self.slots.len()).ok()?;
         self.slots.push(Some(slot));
-        Some(channel)
+        Some(local_port)
     }
 
-    fn rest(&mut self, now: Timestamp, channel: Channel) {
-        self.slots[usize::from(channel)] = None;
-        self.resting.push_back((channel, now));
+    fn rest(&mut self, now: Timestamp, local_port: LocalPort) {
+        self.slots[usize::from(local_port)] = None;
+        self.resting.push_back((local_port, now));
     }
 }
 
@@ -326,23 +326,23 @@
 
     /// Adds a flow held here, started `age_ms` milliseconds ago; returns its channel, or none when the table or the
     /// target has no room.
-    pub fn insert_here(&mut self, now: Timestamp, key: FlowKey, target: &TargetNote, age_ms: u32) -> Option<Channel> {
+    pub fn insert_here(&mut self, now: Timestamp, key: FlowKey, target: &TargetNote, age_ms: u32) -> Option<LocalPort> {
         // Someone else's hold, or the tail of a hold given away, ends here.
         self.remove(now, &key);
         let slot = self.take_slot(now, key)?;
         let seat = self.intern(key.service, target);
         let ports = self.seats[seat as usize].ports;
-        let Some(channel) = self.ports[ports].take(now, slot) else {
+        let Some(local_port) = self.ports[ports].take(now, slot) else {
             self.vacant.push(slot);
             return None;
         };
         self.seats[seat as usize].live += 1;
         let record = &mut self.records[slot as usize];
-        record.state = State::Here { seat, channel };
+        record.state = State::Here { seat, local_port };
         record.opened = stamp(now).wrapping_sub(age_ms);
         self.held += 1;
         self.link(&key, slot);
-        Some(channel)
+        Some(local_port)
     }
 
     /// Notes that another instance holds a flow; without room the note is dropped, and the chain still finds it.
@@ -407,12 +407,12 @@
     pub fn remove(&mut self, now: Timestamp, key: &FlowKey) {
         let Some(slot) = self.unlink(key) else { return };
         match self.records[slot as usize].state {
-            State::Here { seat, channel } => {
+            State::Here { seat, local_port } => {
                 self.seats[seat as usize].live -= 1;
-                self.rest(now, seat, channel);
+                self.rest(now, seat, local_port);
                 self.held -= 1;
             }
-            State::GivenAway { seat, channel } => self.rest(now, seat, channel),
+            State::GivenAway { seat, local_port } => self.rest(now, seat, local_port),
             State::Elsewhere { .. } => self.elsewhere -= 1,
             State::Vacant => {}
         }
@@ -420,17 +420,17 @@
         self.vacant.push(slot);
     }
 
-    fn rest(&mut self, now: Timestamp, seat: SeatIndex, channel: Channel) {
+    fn rest(&mut self, now: Timestamp, seat: SeatIndex, local_port: LocalPort) {
         let ports = self.seats[seat as usize].ports;
-        self.ports[ports].rest(now, channel);
+        self.ports[ports].rest(now, local_port);
     }
 
     /// Stops holding a flow that another instance has taken over; answers to it still pass for a while.
     pub fn give_away(&mut self, now: Timestamp, key: &FlowKey) {
         let Some(slot) = self.find(key) else { return };
         let record = &mut self.records[slot as usize];
-        if let State::Here { seat, channel } = record.state {
-            record.state = State::GivenAway { seat, channel };
+        if let State::Here { seat, local_port } = record.state {
+            record.state = State::GivenAway { seat, local_port };
             record.touched = stamp(now);
             self.seats[seat as usize].live -= 1;
             self.held -= 1;
@@ -444,11 +444,11 @@
         &mut self,
         now: Timestamp,
         target: SocketAddr,
-        channel: Channel,
+        local_port: LocalPort,
         doubted: Option<Timestamp>,
     ) -> Option<(FlowKey, &Seat)> {
         let ports = &self.ports[*self.by_address.get(&target)?];
-        let slot = (*ports.slots.get(usize::from(channel))?)?;
+        let slot = (*ports.slots.get(usize::from(local_port))?)?;
         let record = &mut self.records[slot as usize];
         let seat = match record.state {
             State::Here { seat, .. } => {
@@ -491,7 +491,7 @@
 
 fn holder(state: State) -> Option<Holder> {
     match state {
-        State::Here { seat, channel } => Some(Holder::Here { seat, channel }),
+        State::Here { seat, local_port } => Some(Holder::Here { seat, local_port }),
         State::Elsewhere { holder } => Some(Holder::Instance(holder)),
         State::Vacant | State::GivenAway { .. } => None,
     }
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -159,8 +159,8 @@
                 let cx = surroundings(view, membership, health, configuration, fence.as_ref());
                 out.push(Output::Packet(flows.forwarded_packet(now, &head, cx, invariant_counters)));
             }
-            Input::TargetPacket { target, channel } => {
-                out.push(Output::Packet(self.flows.target_packet(now, target, channel, self.fence.is_some())));
+            Input::TargetPacket { target, local_port } => {
+                out.push(Output::Packet(self.flows.target_packet(now, target, local_port, self.fence.is_some())));
             }
             Input::Tick => self.tick(now, out),
             Input::Stop => self.stop(now),
--- a/crates/core/tests/support/world.rs
+++ b/crates/core/tests/support/world.rs
@@ -26,10 +26,10 @@
 use hawthornshift_core::Timestamp;
 use hawthornshift_core::Tuning;
 use hawthornshift_core::event::AttemptNumber;
-use hawthornshift_core::event::Channel;
 use hawthornshift_core::event::HealthReport;
 use hawthornshift_core::event::InstanceList;
 use hawthornshift_core::event::ListedInstance;
+use hawthornshift_core::event::LocalPort;
 use hawthornshift_core::event::PacketAction;
 use hawthornshift_core::event::PlatformRead;
 use hawthornshift_core::event::Reply;
@@ -108,7 +108,7 @@
         service: ServiceId,
         caller: SocketAddr,
         from: InstanceId,
-        channel: Channel,
+        local_port: LocalPort,
     },
     Pass {
         from: InstanceId,
@@ -508,8 +508,8 @@
             }
             Event::Message { address, from, envelope } => self.message(address, from, envelope),
             Event::Forwarded { address, head } => self.forwarded(address, head),
-            Event::AtTarget { target, service, caller, from, channel } => {
-                self.at_target(target, service, caller, from, channel);
+            Event::AtTarget { target, service, caller, from, local_port } => {
+                self.at_target(target, service, caller, from, local_port);
             }
             Event::Pass { from, life, request, address, to, head } => {
                 self.pass(from, life, request, address, to, *head);
@@ -642,9 +642,9 @@
         answered: Option<SocketAddr>,
     ) {
         match fate {
-            PacketAction::ToTarget { channel, target } => {
+            PacketAction::ToTarget { local_port, target } => {
                 let Some((service, caller)) = caller else { return };
-                self.transmit(Event::AtTarget { target, service, caller, from: id, channel });
+                self.transmit(Event::AtTarget { target, service, caller, from: id, local_port });
             }
             PacketAction::Forward { address, head } => self.transmit(Event::Forwarded { address, head }),
             PacketAction::ToCaller { caller, .. } => {
@@ -733,7 +733,7 @@
         service: ServiceId,
         caller: SocketAddr,
         from: InstanceId,
-        channel: Channel,
+        local_port: LocalPort,
     ) {
         self.note_arrival(target);
         let group = self.set.target_groups.iter().find(|group| group.targets.iter().any(|t| t.address == target));
@@ -751,7 +751,7 @@
         }
         let Some(host) = self.hosts.get(&from) else { return };
         let life = host.life;
-        let input = Box::new(Input::TargetPacket { target, channel });
+        let input = Box::new(Input::TargetPacket { target, local_port });
         self.transmit(Event::Deliver { id: from, life, input });
     }
 
