--- a/crates/core/src/flows/advertise.rs
+++ b/crates/core/src/flows/advertise.rs
@@ -15,7 +15,7 @@
 use super::table::TELL_PERIOD;
 use crate::Timestamp;
 use crate::message::FlowBatch;
-use crate::message::FlowNote;
+use crate::message::FlowDescriptor;
 use crate::message::Sequence;
 use hawthornshift_model::FlowKey;
 use hawthornshift_model::InstanceId;
@@ -40,7 +40,7 @@
 }
 
 /// Flows that wait to be told, by addressee, target and whether they are handed over.
-type Backlog = BTreeMap<(InstanceId, SeatIndex, bool), Vec<FlowNote>>;
+type Backlog = BTreeMap<(InstanceId, SeatIndex, bool), Vec<FlowDescriptor>>;
 
 /// What is left to tell.
 #[derive(Clone, Debug, Default)]
--- a/crates/core/src/flows/mod.rs
+++ b/crates/core/src/flows/mod.rs
@@ -47,7 +47,7 @@
 use crate::message::FlowBatch;
 use crate::message::ForwardPurpose;
 use crate::message::ForwardedPacketHeader;
-use crate::message::TargetNote;
+use crate::message::TargetDescriptor;
 use crate::rendezvous;
 use crate::slow_start::SlowStartLimit;
 use crate::tuning::Tuning;
@@ -489,7 +489,7 @@
     ///
     /// Two instances can come to hold one flow: each side of a partition starts it, or a packet overtakes the word of
     /// where it is. Left alone, packets would go to one target or the other depending on where they enter, so one of
-    /// the records has to go ([`crate::message::FlowNote::holds_over`]). The flow's home is told of both, and decides.
+    /// the records has to go ([`crate::message::FlowDescriptor::holds_over`]). The flow's home is told of both, and decides.
     pub fn apply_batch(
         &mut self,
         now: Timestamp,
@@ -531,7 +531,7 @@
         }
     }
 
-    fn take_over(&mut self, now: Timestamp, key: FlowKey, age_ms: u32, target: &TargetNote, cx: FlowContext<'_>) {
+    fn take_over(&mut self, now: Timestamp, key: FlowKey, age_ms: u32, target: &TargetDescriptor, cx: FlowContext<'_>) {
         if self.table.insert_here(now, key, target, age_ms).is_some() {
             self.counts.taken_over += 1;
         }
@@ -574,8 +574,12 @@
     pub others: BTreeMap<InstanceId, Vec<SocketAddr>>,
 }
 
-fn note(catalog: &Catalog, target: &TargetEntry) -> TargetNote {
-    TargetNote { id: target.id, address: target.address, failure_domain: catalog.domains()[target.domain].name.clone() }
+fn note(catalog: &Catalog, target: &TargetEntry) -> TargetDescriptor {
+    TargetDescriptor {
+        id: target.id,
+        address: target.address,
+        failure_domain: catalog.domains()[target.domain].name.clone(),
+    }
 }
 
 /// Tells whether packets may be forwarded to an instance: it can be reached, and its failure domain is not out, or
--- a/crates/core/src/flows/table.rs
+++ b/crates/core/src/flows/table.rs
@@ -13,8 +13,8 @@
 use crate::catalog::Catalog;
 use crate::event::LocalPort;
 use crate::maps::Map;
-use crate::message::FlowNote;
-use crate::message::TargetNote;
+use crate::message::FlowDescriptor;
+use crate::message::TargetDescriptor;
 use hawthornshift_model::FlowKey;
 use hawthornshift_model::InstanceId;
 use hawthornshift_model::ServiceId;
@@ -91,9 +91,9 @@
         doubted.is_some_and(|since| self.idle(now) > now.saturating_sub(since))
     }
 
-    fn note(&self, now: Timestamp) -> FlowNote {
+    fn note(&self, now: Timestamp) -> FlowDescriptor {
         let now = stamp(now);
-        FlowNote {
+        FlowDescriptor {
             caller: self.key.caller,
             age_ms: now.wrapping_sub(self.opened),
             idle_ms: now.wrapping_sub(self.touched),
@@ -109,7 +109,7 @@
     /// The target.
     pub seat: SeatIndex,
     /// What is told of it.
-    pub note: FlowNote,
+    pub note: FlowDescriptor,
 }
 
 /// What a look-up for a packet finds.
@@ -133,7 +133,7 @@
 /// A target as the flows of one service use it.
 #[derive(Clone, Debug)]
 pub struct Seat {
-    note: TargetNote,
+    note: TargetDescriptor,
     service: ServiceId,
     ports: usize,
     live: u32,
@@ -143,7 +143,7 @@
 impl Seat {
     /// Returns the target.
     #[must_use]
-    pub fn note(&self) -> &TargetNote {
+    pub fn note(&self) -> &TargetDescriptor {
         &self.note
     }
 
@@ -303,7 +303,7 @@
 
     /// Returns who holds a flow, and what is known of that record.
     #[must_use]
-    pub fn note(&self, now: Timestamp, key: &FlowKey) -> Option<(Holder, FlowNote)> {
+    pub fn note(&self, now: Timestamp, key: &FlowKey) -> Option<(Holder, FlowDescriptor)> {
         let record = self.records[self.find(key)? as usize];
         Some((holder(record.state)?, record.note(now)))
     }
@@ -326,7 +326,13 @@
 
     /// Adds a flow held here, started `age_ms` milliseconds ago; returns its channel, or none when the table or the
     /// target has no room.
-    pub fn insert_here(&mut self, now: Timestamp, key: FlowKey, target: &TargetNote, age_ms: u32) -> Option<LocalPort> {
+    pub fn insert_here(
+        &mut self,
+        now: Timestamp,
+        key: FlowKey,
+        target: &TargetDescriptor,
+        age_ms: u32,
+    ) -> Option<LocalPort> {
         // Someone else's hold, or the tail of a hold given away, ends here.
         self.remove(now, &key);
         let slot = self.take_slot(now, key)?;
@@ -346,7 +352,7 @@
     }
 
     /// Notes that another instance holds a flow; without room the note is dropped, and the chain still finds it.
-    pub fn insert_elsewhere(&mut self, now: Timestamp, key: FlowKey, holder: InstanceId, note: &FlowNote) {
+    pub fn insert_elsewhere(&mut self, now: Timestamp, key: FlowKey, holder: InstanceId, note: &FlowDescriptor) {
         self.remove(now, &key);
         let Some(slot) = self.take_slot(now, key) else { return };
         let record = &mut self.records[slot as usize];
@@ -382,7 +388,7 @@
         Some(entry.remove().0)
     }
 
-    fn intern(&mut self, service: ServiceId, note: &TargetNote) -> SeatIndex {
+    fn intern(&mut self, service: ServiceId, note: &TargetDescriptor) -> SeatIndex {
         if let Some(seat) = self.by_pair.get(&(service, note.id)) {
             return *seat;
         }
--- a/crates/core/src/message.rs
+++ b/crates/core/src/message.rs
@@ -202,17 +202,17 @@
     /// The service.
     pub service: ServiceId,
     /// The target that the flows go to.
-    pub target: TargetNote,
+    pub target: TargetDescriptor,
     /// Whether the receiver takes the flows over; else the sender keeps them and wants their packets.
     pub handover: bool,
     /// The flows.
-    pub flows: Vec<FlowNote>,
+    pub flows: Vec<FlowDescriptor>,
 }
 
 /// One flow of a batch.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct FlowNote {
+pub struct FlowDescriptor {
     /// Who it is from.
     pub caller: SocketAddr,
     /// Milliseconds since it was started.
@@ -221,7 +221,7 @@
     pub idle_ms: u32,
 }
 
-impl FlowNote {
+impl FlowDescriptor {
     /// Tells whether this record of a flow holds over another of the same flow.
     ///
     /// One that had its last packet before the other was started was abandoned: its instance was paused or cut off,
@@ -238,7 +238,7 @@
 /// A target, described whole, since the receiver's set may no longer name it.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct TargetNote {
+pub struct TargetDescriptor {
     /// The target.
     pub id: TargetId,
     /// Where it serves.
--- a/crates/core/tests/flows.rs
+++ b/crates/core/tests/flows.rs
@@ -12,7 +12,7 @@
 use hawthornshift_core::configuration::Configuration;
 use hawthornshift_core::health::TargetStatus;
 use hawthornshift_core::invariants::InvariantCounters;
-use hawthornshift_core::message::FlowNote;
+use hawthornshift_core::message::FlowDescriptor;
 use hawthornshift_model::CheckedSet;
 use hawthornshift_model::DomainState;
 
@@ -181,7 +181,7 @@
 /// not win, or the caller would be moved back to where it has not been for long.
 #[test]
 fn an_abandoned_record_does_not_hold_over_one_in_use() {
-    let note = |age_ms, idle_ms| FlowNote { caller: "10.0.0.1:5".parse().unwrap(), age_ms, idle_ms };
+    let note = |age_ms, idle_ms| FlowDescriptor { caller: "10.0.0.1:5".parse().unwrap(), age_ms, idle_ms };
     let abandoned = note(60_000, 9_000);
     let in_use = note(8_000, 10);
     assert!(in_use.holds_over(&abandoned) && !abandoned.holds_over(&in_use));
--- a/crates/core/tests/targets.rs
+++ b/crates/core/tests/targets.rs
@@ -15,7 +15,7 @@
 use hawthornshift_core::flows::table::FlowTable;
 use hawthornshift_core::flows::table::Holder;
 use hawthornshift_core::invariants::InvariantCounters;
-use hawthornshift_core::message::TargetNote;
+use hawthornshift_core::message::TargetDescriptor;
 use hawthornshift_core::slow_start::SlowStartLimit;
 use hawthornshift_core::view::LeaseState;
 use hawthornshift_core::view::ServingInstance;
@@ -87,7 +87,8 @@
 /// the caller of the second if both had the same local port.
 #[test]
 fn a_channel_rests_before_it_is_used_again() {
-    let note = TargetNote { id: 1, address: "10.0.0.9:8080".parse().unwrap(), failure_domain: "norte".to_owned() };
+    let note =
+        TargetDescriptor { id: 1, address: "10.0.0.9:8080".parse().unwrap(), failure_domain: "norte".to_owned() };
     let key = |last: u8| FlowKey { service: 5, caller: ([10, 0, 0, last], 4_000).into() };
     let mut table = FlowTable::new(100);
     let now = Duration::from_secs(1);
@@ -111,7 +112,7 @@
     };
     let set = support::set();
     let target = &set.target_groups[1].targets[1];
-    let note = TargetNote { id: target.id("avisos"), address: target.address, failure_domain: "sur".to_owned() };
+    let note = TargetDescriptor { id: target.id("avisos"), address: target.address, failure_domain: "sur".to_owned() };
     let key = |last: u8| FlowKey { service: set.services[1].id(), caller: ([10, 0, 0, last], 4_000).into() };
     let mut table = FlowTable::new(100);
     let now = Duration::from_secs(1);
