--- a/crates/core/src/flows/mod.rs
+++ b/crates/core/src/flows/mod.rs
@@ -489,7 +489,7 @@
     ///
     /// Two instances can come to hold one flow: each side of a partition starts it, or a packet overtakes the word of
     /// where it is. Left alone, packets would go to one target or the other depending on where they enter, so one of
-    /// the records has to go ([`crate::message::FlowDescriptor::holds_over`]). The flow's home is told of both, and decides.
+    /// the records has to go ([`crate::message::FlowDescriptor::supersedes`]). The flow's home is told of both, and decides.
     pub fn apply_batch(
         &mut self,
         now: Timestamp,
@@ -503,7 +503,7 @@
             let known = self.table.note(now, &key).filter(|(holder, _)| *holder != Holder::Instance(from));
             self.counts.conflicts += u64::from(known.is_some());
             match known {
-                Some((_, known)) if known.holds_over(flow) => {
+                Some((_, known)) if known.supersedes(flow) => {
                     superseded.senders.push(flow.caller);
                     continue;
                 }
--- a/crates/core/src/message.rs
+++ b/crates/core/src/message.rs
@@ -227,7 +227,7 @@
     /// One that had its last packet before the other was started was abandoned: its instance was paused or cut off,
     /// and the caller has moved on. Else both are in use, and the elder holds, for its target has the flow's history.
     #[must_use]
-    pub fn holds_over(&self, other: &Self) -> bool {
+    pub fn supersedes(&self, other: &Self) -> bool {
         if self.idle_ms > other.age_ms {
             return false;
         }
--- a/crates/core/tests/flows.rs
+++ b/crates/core/tests/flows.rs
@@ -184,9 +184,9 @@
     let note = |age_ms, idle_ms| FlowDescriptor { caller: "10.0.0.1:5".parse().unwrap(), age_ms, idle_ms };
     let abandoned = note(60_000, 9_000);
     let in_use = note(8_000, 10);
-    assert!(in_use.holds_over(&abandoned) && !abandoned.holds_over(&in_use));
+    assert!(in_use.supersedes(&abandoned) && !abandoned.supersedes(&in_use));
     let elder = note(60_000, 20);
-    assert!(elder.holds_over(&in_use) && !in_use.holds_over(&elder));
+    assert!(elder.supersedes(&in_use) && !in_use.supersedes(&elder));
 }
 
 /// A platform that is stale, or a peer that is, offers a set that is older than the one in force. What operators have
