--- a/crates/core/src/membership/anti_entropy.rs
+++ b/crates/core/src/membership/anti_entropy.rs
@@ -90,7 +90,7 @@
         let mut parts: Vec<Vec<MemberUpdate>> = Vec::new();
         let mut room = 0;
         for update in buckets.into_iter().flatten() {
-            let bytes = update.encoded_bound();
+            let bytes = update.max_encoded_len();
             if bytes > room {
                 if parts.len() == most {
                     break;
--- a/crates/core/src/membership/dissemination.rs
+++ b/crates/core/src/membership/dissemination.rs
@@ -55,7 +55,7 @@
             others.for_each(|(_, member)| member.sends_left = member.sends_left.saturating_sub(1));
             return news;
         }
-        let mut room = NEWS_ROOM.saturating_sub(news.iter().map(MemberUpdate::encoded_bound).sum());
+        let mut room = NEWS_ROOM.saturating_sub(news.iter().map(MemberUpdate::max_encoded_len).sum());
         let mut pending: Vec<(Reverse<u32>, InstanceId)> = self
             .members
             .iter()
@@ -65,7 +65,7 @@
         pending.sort_unstable();
         for (_, id) in pending {
             let Some(member) = self.members.get_mut(&id) else { continue };
-            let bytes = member.update.encoded_bound();
+            let bytes = member.update.max_encoded_len();
             if bytes > room {
                 break;
             }
--- a/crates/core/src/message.rs
+++ b/crates/core/src/message.rs
@@ -158,7 +158,7 @@
 
     /// Returns the most bytes that the update takes in a datagram.
     #[must_use]
-    pub fn encoded_bound(&self) -> usize {
+    pub fn max_encoded_len(&self) -> usize {
         /// Numbers and lengths in the variable form: id, incarnation, version, state, length of the name.
         const NUMBERS: usize = 5 + 10 + 5 + 1 + 2;
         let address = |address: &SocketAddr| if address.is_ipv4() { 8 } else { 20 };
