--- a/crates/adapters/src/engine.rs
+++ b/crates/adapters/src/engine.rs
@@ -304,7 +304,7 @@
 
     /// Feeds ticks until the instance ends.
     pub(crate) async fn tick(self: Arc<Self>) {
-        let mut interval = tokio::time::interval(hawthornshift_core::node::TICK);
+        let mut interval = tokio::time::interval(hawthornshift_core::node::TICK_PERIOD);
         interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             interval.tick().await;
--- a/crates/core/benches/support/mod.rs
+++ b/crates/core/benches/support/mod.rs
@@ -13,7 +13,7 @@
 use hawthornshift_core::Tuning;
 use hawthornshift_core::event::HealthReport;
 use hawthornshift_core::membership::Identity;
-use hawthornshift_core::node::TICK;
+use hawthornshift_core::node::TICK_PERIOD;
 use hawthornshift_model::CheckedSet;
 use hawthornshift_model::Class;
 use hawthornshift_model::DomainState;
@@ -96,7 +96,7 @@
     let mut now = Timestamp::ZERO;
     let mut out = Vec::new();
     while !node.is_ready() {
-        now += TICK;
+        now += TICK_PERIOD;
         node.handle(now, Input::Tick, &mut out);
         for output in std::mem::take(&mut out) {
             if let Output::Probe { target, .. } = output {
@@ -104,8 +104,8 @@
             }
         }
     }
-    node.handle(now + TICK, Input::Tick, &mut out);
-    (node, now + TICK)
+    node.handle(now + TICK_PERIOD, Input::Tick, &mut out);
+    (node, now + TICK_PERIOD)
 }
 
 /// Returns the caller of one of many flows.
--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -40,7 +40,7 @@
 /// Something that has happened.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// Time has passed; due at least every [`crate::node::TICK`].
+    /// Time has passed; due at least every [`crate::node::TICK_PERIOD`].
     Tick,
     /// The process was told to stop as planned.
     Stop,
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -52,7 +52,7 @@
 use hawthornshift_model::TargetId;
 
 /// How often [`Input::Tick`] is due at the least.
-pub const TICK: Duration = Duration::from_millis(50);
+pub const TICK_PERIOD: Duration = Duration::from_millis(50);
 
 /// One instance's decisions.
 #[derive(Debug)]
@@ -252,7 +252,7 @@
         if now < self.next_tick {
             return;
         }
-        self.next_tick = now + TICK;
+        self.next_tick = now + TICK_PERIOD;
         self.tick_fence(now, out);
         let signals = self.membership.tick(now, &mut self.rng);
         self.send_signals(signals, out);
--- a/crates/core/tests/requests.rs
+++ b/crates/core/tests/requests.rs
@@ -14,7 +14,7 @@
 use hawthornshift_core::Tuning;
 use hawthornshift_core::invariants::InvariantCounters;
 use hawthornshift_core::membership::Identity;
-use hawthornshift_core::node::TICK;
+use hawthornshift_core::node::TICK_PERIOD;
 use hawthornshift_core::tickets::ClosedIssuerStatus;
 use hawthornshift_core::tickets::PresentOutcome;
 use hawthornshift_core::tickets::Ticket;
@@ -177,7 +177,7 @@
     let mut out = Vec::new();
     node.handle(now, Input::SetRead(Arc::new(CheckedSet::new(set).unwrap())), &mut out);
     while !node.is_ready() {
-        now += TICK;
+        now += TICK_PERIOD;
         node.handle(now, Input::Tick, &mut out);
     }
     for request in 0..100 {
--- a/crates/core/tests/support/world.rs
+++ b/crates/core/tests/support/world.rs
@@ -42,7 +42,7 @@
 use hawthornshift_core::message::ForwardedRequestHeader;
 use hawthornshift_core::message::Reason;
 use hawthornshift_core::message::Refusal;
-use hawthornshift_core::node::TICK;
+use hawthornshift_core::node::TICK_PERIOD;
 use hawthornshift_model::CheckedSet;
 use hawthornshift_model::DomainState;
 use hawthornshift_model::InstanceId;
@@ -498,7 +498,7 @@
             Event::Tick { id, life } => {
                 if self.is_life(id, life) {
                     self.feed(id, Input::Tick);
-                    self.after(TICK, Event::Tick { id, life });
+                    self.after(TICK_PERIOD, Event::Tick { id, life });
                 }
             }
             Event::Deliver { id, life, input } => {
