--- a/crates/core/src/direct/steering/following.rs
+++ b/crates/core/src/direct/dispatcher/following.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
+use super::Dispatcher;
 use super::Effect;
 use super::Packet;
-use super::Steering;
 use super::record;
 use crate::Timestamp;
 use crate::direct::decision::Decision;
@@ -37,7 +37,7 @@
     moved: bool,
 }
 
-impl Steering {
+impl Dispatcher {
     /// Decides about any packet but a SYN.
     pub(super) fn carry(&mut self, now: Timestamp, segment: &Segment, effects: &mut Vec<Effect>) {
         let known = self.flows.get(&segment.flow).map(|flow| flow.target);
--- a/crates/core/src/direct/steering/mod.rs
+++ b/crates/core/src/direct/dispatcher/mod.rs
@@ -1,6 +1,6 @@
 //! What happens to each packet of a caller.
 //!
-//! [`Steering::packet`] takes a packet's head and the present time and appends what to do; [`Steering::tick`] does what
+//! [`Dispatcher::packet`] takes a packet's head and the present time and appends what to do; [`Dispatcher::tick`] does what
 //! is due without a packet. Nothing here opens a socket or reads a clock.
 
 mod following;
@@ -86,7 +86,7 @@
         /// The cookie to write into it, if another than it carries.
         cookie: Option<Cookie>,
     },
-    /// Ask a target for a connection, and hand the outcome to [`Steering::checked`].
+    /// Ask a target for a connection, and hand the outcome to [`Dispatcher::checked`].
     Check {
         /// Whom.
         target: TargetId,
@@ -109,7 +109,7 @@
 
 /// Settings of the decisions.
 #[derive(Clone, Debug)]
-pub struct SteeringConfig {
+pub struct DispatcherConfig {
     /// Number of this instance.
     pub id: InstanceId,
     /// Its failure domain.
@@ -122,8 +122,8 @@
 
 /// State of the decisions about packets.
 #[derive(Clone, Debug)]
-pub struct Steering {
-    config: SteeringConfig,
+pub struct Dispatcher {
+    config: DispatcherConfig,
     directory: Directory,
     open_requests: OpenRequests,
     outliers: Outliers,
@@ -177,10 +177,10 @@
     }
 }
 
-impl Steering {
+impl Dispatcher {
     /// Starts with nothing known.
     #[must_use]
-    pub fn new(config: SteeringConfig) -> Self {
+    pub fn new(config: DispatcherConfig) -> Self {
         Self {
             instances: vec![config.id],
             group: vec![config.id],
--- a/crates/core/src/direct/steering/opening.rs
+++ b/crates/core/src/direct/dispatcher/opening.rs
@@ -4,9 +4,9 @@
 
 use xxhash_rust::xxh3::xxh3_64;
 
+use super::Dispatcher;
 use super::Effect;
 use super::Packet;
-use super::Steering;
 use super::Syn;
 use crate::Timestamp;
 use crate::direct::adaptive_limit::Usage;
@@ -40,7 +40,7 @@
 /// Fewest flows that may wait, whatever the estimate.
 const MIN_WAITING: usize = 16;
 
-impl Steering {
+impl Dispatcher {
     /// Decides about a SYN.
     pub(super) fn open(&mut self, now: Timestamp, syn: &Syn<'_>, route: &Route, effects: &mut Vec<Effect>) {
         let Syn { segment, copies, packet, since } = *syn;
--- a/crates/core/src/direct/steering/reporting.rs
+++ b/crates/core/src/direct/dispatcher/reporting.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
+use super::Dispatcher;
 use super::Effect;
-use super::Steering;
 use crate::Timestamp;
 use crate::direct::directory::cookie;
 use crate::direct::load_report::AnsweredRequest;
@@ -14,7 +14,7 @@
 use crate::direct::segment::FlowHash;
 use hawthornshift_model::TargetId;
 
-impl Steering {
+impl Dispatcher {
     /// Takes over what a peer reports.
     pub fn receive(&mut self, now: Timestamp, report: &LoadReport, effects: &mut Vec<Effect>) {
         for open in &report.started {
--- a/crates/core/src/direct/steering/resetting.rs
+++ b/crates/core/src/direct/dispatcher/resetting.rs
@@ -5,8 +5,8 @@
 
 use std::time::Duration;
 
+use super::Dispatcher;
 use super::Effect;
-use super::Steering;
 use crate::Timestamp;
 use crate::direct::decision::Decision;
 use crate::direct::decision::Outcome;
@@ -28,7 +28,7 @@
 /// Instances that check a target for one that could not reach it: one may be the asker itself, and one may be in trouble.
 const CHECKERS: usize = 4;
 
-impl Steering {
+impl Dispatcher {
     /// Takes in the outcome of a check of a target.
     pub fn checked(&mut self, now: Timestamp, target: TargetId, outcome: CheckOutcome, effects: &mut Vec<Effect>) {
         let alone = self.group.len() <= 1;
--- a/crates/core/src/direct/steering/timers.rs
+++ b/crates/core/src/direct/dispatcher/timers.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
+use super::Dispatcher;
 use super::Effect;
-use super::Steering;
 use super::UNSEEN;
 use crate::Timestamp;
 use crate::direct::decision::Decision;
@@ -29,7 +29,7 @@
 /// Time between two clean-ups of records.
 const SWEEP: Duration = Duration::from_secs(1);
 
-impl Steering {
+impl Dispatcher {
     /// Does what is due.
     pub fn tick(&mut self, now: Timestamp, effects: &mut Vec<Effect>) {
         if !self.early.is_empty() {
@@ -177,7 +177,7 @@
         }
     }
 
-    /// Returns when [`Steering::tick`] has something to do next.
+    /// Returns when [`Dispatcher::tick`] has something to do next.
     #[must_use]
     pub fn next_due(&self) -> Timestamp {
         let dues = [self.flows.next_due(), self.waiting.next_due(), Some(self.next_refresh)];
--- a/crates/core/src/direct/mod.rs
+++ b/crates/core/src/direct/mod.rs
@@ -3,7 +3,7 @@
 //! An instance sees only what callers send, and a cookie that it writes on a SYN comes back in every later packet of
 //! the flow. So nothing has to be agreed on about open flows, and what is left to decide is where a SYN goes.
 //!
-//! - [`steering`] decides about each packet; [`segment`] is what it sees of one.
+//! - [`dispatcher`] decides about each packet; [`segment`] is what it sees of one.
 //! - [`directory`] is what the store says, in [`store_entries`] that instances pass on to each other; [`routes`] is the
 //!   configuration in it.
 //! - [`placement`] picks a target, by [`open_requests`] (what targets hold, told between instances in [`load_report`]), [`outlier`]
@@ -25,6 +25,7 @@
 pub mod concurrency_limit;
 pub mod decision;
 pub mod directory;
+pub mod dispatcher;
 pub mod domain_reach;
 pub mod failures;
 pub mod fleet;
@@ -44,7 +45,6 @@
 pub mod segment;
 pub mod smoothed_time;
 pub mod starting;
-pub mod steering;
 pub mod stopping;
 pub mod store_entries;
 pub mod watch;
--- a/crates/core/tests/direct/fleet.rs
+++ b/crates/core/tests/direct/fleet.rs
@@ -22,6 +22,10 @@
 use hawthornshift_core::direct::decision::Decision;
 use hawthornshift_core::direct::decision::Outcome;
 use hawthornshift_core::direct::directory::cookie;
+use hawthornshift_core::direct::dispatcher::Dispatcher;
+use hawthornshift_core::direct::dispatcher::DispatcherConfig;
+use hawthornshift_core::direct::dispatcher::Effect;
+use hawthornshift_core::direct::dispatcher::Packet;
 use hawthornshift_core::direct::fleet::Fleet;
 use hawthornshift_core::direct::fleet::FleetEffect;
 use hawthornshift_core::direct::fleet::instance_id;
@@ -35,10 +39,6 @@
 use hawthornshift_core::direct::segment::FlowId;
 use hawthornshift_core::direct::segment::Segment;
 use hawthornshift_core::direct::segment::SegmentKind;
-use hawthornshift_core::direct::steering::Effect;
-use hawthornshift_core::direct::steering::Packet;
-use hawthornshift_core::direct::steering::Steering;
-use hawthornshift_core::direct::steering::SteeringConfig;
 use hawthornshift_core::direct::store_entries::Delta;
 use hawthornshift_core::direct::store_entries::RequestKind;
 use hawthornshift_core::direct::store_entries::Route;
@@ -125,7 +125,7 @@
 }
 
 struct Instance {
-    steering: Steering,
+    dispatcher: Dispatcher,
     fleet: Fleet,
     group: Vec<SocketAddr>,
     /// Tells its life from earlier ones: events for those are void.
@@ -405,7 +405,7 @@
     pub fn publish(&mut self, delta: &Delta) {
         for index in 0..self.instances.len() {
             self.with(index, |instance, now, effects| {
-                instance.steering.learn(now, delta, effects);
+                instance.dispatcher.learn(now, delta, effects);
             });
         }
     }
@@ -437,7 +437,7 @@
         let ready = |instance: &mut Option<Instance>| {
             instance.as_mut().is_some_and(|instance| {
                 let others = instance.fleet.reaches_other_domains(now);
-                instance.steering.readiness(now, others) == Readiness::Ready
+                instance.dispatcher.readiness(now, others) == Readiness::Ready
             })
         };
         let answers: Vec<bool> = self.instances.iter_mut().map(ready).collect();
@@ -479,7 +479,7 @@
             control: address,
             forward: address,
         };
-        let config = SteeringConfig {
+        let config = DispatcherConfig {
             id,
             domain: failure_domain,
             evacuation_grace: Duration::from_secs(4),
@@ -487,9 +487,9 @@
         };
         let seeds: Vec<SocketAddr> = self.seeds.iter().copied().filter(|seed| *seed != address).collect();
         let fleet = Fleet::new(self.now, identity, &seeds);
-        let steering = Steering::new(config);
+        let dispatcher = Dispatcher::new(config);
         let life = self.life;
-        self.instances[index] = Some(Instance { steering, fleet, group: Vec::new(), life });
+        self.instances[index] = Some(Instance { dispatcher, fleet, group: Vec::new(), life });
         self.after(ms(30), Event::Learned(index, life));
         self.after(Duration::ZERO, Event::Tick(index, life));
     }
@@ -504,8 +504,8 @@
         let mut effects = Vec::new();
         let instance = self.instances[index].as_mut()?;
         let result = act(instance, now, &mut effects);
-        let report = instance.steering.take_report();
-        let decisions = instance.steering.take_decisions();
+        let report = instance.dispatcher.take_report();
+        let decisions = instance.dispatcher.take_decisions();
         let group = instance.group.clone();
         self.again += decisions.iter().filter(|decision| decision.outcome == Outcome::PlacedAgain).count() as u64;
         for decision in decisions {
@@ -576,18 +576,18 @@
             match effect {
                 FleetEffect::Send(to, frame) => self.send(index, &to, &frame),
                 FleetEffect::ApplyLoadReport(report) => {
-                    self.with(index, |instance, now, effects| instance.steering.receive(now, &report, effects));
+                    self.with(index, |instance, now, effects| instance.dispatcher.receive(now, &report, effects));
                 }
                 FleetEffect::Changed => {
                     self.with(index, |instance, now, _| {
                         instance.group = instance.fleet.group();
                         let whole = instance.fleet.is_one_group();
                         let (serving, group) = (instance.fleet.serving(), instance.fleet.group_ids());
-                        instance.steering.set_fleet(now, serving, group, whole);
+                        instance.dispatcher.set_fleet(now, serving, group, whole);
                     });
                 }
                 FleetEffect::ApplyDelta(delta) => {
-                    self.with(index, |instance, now, effects| instance.steering.learn(now, &delta, effects));
+                    self.with(index, |instance, now, effects| instance.dispatcher.learn(now, &delta, effects));
                 }
                 FleetEffect::Pull(_) | FleetEffect::RoleChange(_) | FleetEffect::UpToDate => {}
             }
@@ -603,22 +603,22 @@
             Event::Start(index) => self.start(index),
             Event::Learned(index, life) if self.is_life(index, life) => {
                 let picture = self.picture.clone();
-                self.with(index, |instance, now, effects| instance.steering.learn(now, &picture, effects));
+                self.with(index, |instance, now, effects| instance.dispatcher.learn(now, &picture, effects));
                 self.ask_peer(index, life);
             }
             Event::Tick(index, life) if self.is_life(index, life) => self.tick(index, life),
             Event::Peer(index, life, frame) if self.is_life(index, life) => {
                 let effects = self.with(index, |instance, now, _| {
-                    let revision = instance.steering.directory().revision();
+                    let revision = instance.dispatcher.directory().revision();
                     instance.fleet.frame(now, *frame, revision)
                 });
                 self.fleet_effects(index, effects.unwrap_or_default());
             }
             Event::Pulled(index, life, handover) if self.is_life(index, life) => {
-                self.with(index, |instance, now, effects| instance.steering.adopt(now, &handover, effects));
+                self.with(index, |instance, now, effects| instance.dispatcher.adopt(now, &handover, effects));
             }
             Event::Checked(index, life, target, outcome) if self.is_life(index, life) => {
-                self.with(index, |instance, now, effects| instance.steering.checked(now, target, outcome, effects));
+                self.with(index, |instance, now, effects| instance.dispatcher.checked(now, target, outcome, effects));
             }
             Event::Data(request, attempt) => self.data(request, attempt),
             Event::Deadline(request) => self.deadline(request),
@@ -645,7 +645,7 @@
         let peer = (0..self.instances.len()).find(|peer| {
             known.contains(&instance_address(*peer)) && self.reaches(index, *peer) && self.instances[*peer].is_some()
         });
-        let handover = peer.and_then(|peer| self.instances[peer].as_ref()).map(|peer| peer.steering.handover(now, 0));
+        let handover = peer.and_then(|peer| self.instances[peer].as_ref()).map(|peer| peer.dispatcher.handover(now, 0));
         if let Some(handover) = handover {
             self.after(ms(4), Event::Pulled(index, life, Box::new(handover)));
         }
@@ -653,8 +653,8 @@
 
     fn tick(&mut self, index: usize, life: u64) {
         let effects = self.with(index, |instance, now, effects| {
-            instance.steering.tick(now, effects);
-            let revision = instance.steering.directory().revision();
+            instance.dispatcher.tick(now, effects);
+            let revision = instance.dispatcher.directory().revision();
             instance.fleet.tick(now, revision)
         });
         self.fleet_effects(index, effects.unwrap_or_default());
@@ -804,7 +804,7 @@
         self.segments.push(segment);
         self.current = Box::new((self.segments.len() - 1).to_le_bytes());
         let packet = self.current.clone();
-        self.with(index, |instance, now, effects| instance.steering.packet(now, &segment, &packet, effects));
+        self.with(index, |instance, now, effects| instance.dispatcher.packet(now, &segment, &packet, effects));
     }
 
     fn at_target(&mut self, id: TargetId, segment: Segment) {
@@ -937,7 +937,7 @@
 
     /// Returns how many targets are set aside, as each instance sees it, added up.
     pub fn set_aside(&self) -> usize {
-        self.instances.iter().flatten().map(|instance| instance.steering.failing(self.now)).sum()
+        self.instances.iter().flatten().map(|instance| instance.dispatcher.failing(self.now)).sum()
     }
 
     /// Returns how many requests targets have taken that they never answer.
@@ -955,9 +955,9 @@
         let held: Vec<usize> = self.targets.values().map(|target| target.busy + target.queue.len()).collect();
         let mut text = format!("held {held:?}");
         for instance in self.instances.iter().flatten() {
-            let steering = &instance.steering;
-            let counts: Vec<u32> = self.targets.keys().map(|id| steering.open_requests().count(*id)).collect();
-            let (flows, waiting) = steering.sizes();
+            let dispatcher = &instance.dispatcher;
+            let counts: Vec<u32> = self.targets.keys().map(|id| dispatcher.open_requests().count(*id)).collect();
+            let (flows, waiting) = dispatcher.sizes();
             let _ = write!(text, "\n      believed {counts:?} flows {flows} waiting {waiting}");
         }
         text
--- a/crates/core/tests/direct/rules.rs
+++ b/crates/core/tests/direct/rules.rs
@@ -19,6 +19,10 @@
 use hawthornshift_core::direct::decision::Decision;
 use hawthornshift_core::direct::decision::Outcome;
 use hawthornshift_core::direct::directory::cookie;
+use hawthornshift_core::direct::dispatcher::Dispatcher;
+use hawthornshift_core::direct::dispatcher::DispatcherConfig;
+use hawthornshift_core::direct::dispatcher::Effect;
+use hawthornshift_core::direct::dispatcher::Packet;
 use hawthornshift_core::direct::load_report::LoadReport;
 use hawthornshift_core::direct::load_report::OpenRequest;
 use hawthornshift_core::direct::mechanisms::Mechanisms;
@@ -28,17 +32,13 @@
 use hawthornshift_core::direct::segment::FlowId;
 use hawthornshift_core::direct::segment::Segment;
 use hawthornshift_core::direct::segment::SegmentKind;
-use hawthornshift_core::direct::steering::Effect;
-use hawthornshift_core::direct::steering::Packet;
-use hawthornshift_core::direct::steering::Steering;
-use hawthornshift_core::direct::steering::SteeringConfig;
 use hawthornshift_core::direct::store_entries::Delta;
 use hawthornshift_core::direct::store_entries::Routing;
 use hawthornshift_core::direct::store_entries::StoreEntry;
 use hawthornshift_core::direct::store_entries::VersionedEntry;
 
-fn steering() -> Steering {
-    Steering::new(SteeringConfig {
+fn dispatcher() -> Dispatcher {
+    Dispatcher::new(DispatcherConfig {
         id: 1,
         domain: domain(0),
         evacuation_grace: Duration::from_secs(4),
@@ -46,10 +46,10 @@
     })
 }
 
-fn ready(targets: usize) -> Steering {
-    let mut steering = steering();
-    steering.learn(Timestamp::ZERO, &whole(targets), &mut Vec::new());
-    steering
+fn ready(targets: usize) -> Dispatcher {
+    let mut dispatcher = dispatcher();
+    dispatcher.learn(Timestamp::ZERO, &whole(targets), &mut Vec::new());
+    dispatcher
 }
 
 fn flow(port: u16) -> FlowId {
@@ -64,9 +64,9 @@
     segment(port, SegmentKind::Open { copies: 0 })
 }
 
-fn act(steering: &mut Steering, now: Timestamp, segment: &Segment) -> Vec<Effect> {
+fn act(dispatcher: &mut Dispatcher, now: Timestamp, segment: &Segment) -> Vec<Effect> {
     let mut effects = Vec::new();
-    steering.packet(now, segment, b"packet", &mut effects);
+    dispatcher.packet(now, segment, b"packet", &mut effects);
     effects
 }
 
@@ -110,15 +110,15 @@
 /// A target starts while others serve. It says that it is cold for two seconds; it gets nothing before they are over.
 #[test]
 fn a_cold_target_gets_nothing_while_a_warm_one_stands() {
-    let mut steering = ready(2);
+    let mut dispatcher = ready(2);
     let cold = StoreEntry::Target(target_id(2), Some(target_facts(2, Duration::from_secs(2))));
-    steering.learn(Duration::from_secs(1), &news(12, cold), &mut Vec::new());
+    dispatcher.learn(Duration::from_secs(1), &news(12, cold), &mut Vec::new());
     for port in 0..200 {
         let now = Duration::from_secs(1) + ms(u64::from(port) * 9);
-        let effects = act(&mut steering, now, &syn(1_000 + port));
+        let effects = act(&mut dispatcher, now, &syn(1_000 + port));
         assert!(!sent_to(&effects).contains(&target_id(2)));
     }
-    let later = (0..100).flat_map(|port| sent_to(&act(&mut steering, Duration::from_secs(4), &syn(5_000 + port))));
+    let later = (0..100).flat_map(|port| sent_to(&act(&mut dispatcher, Duration::from_secs(4), &syn(5_000 + port))));
     assert!(later.collect::<Vec<_>>().contains(&target_id(2)));
 }
 
@@ -126,81 +126,81 @@
 /// gone from the store: its callers would else lose answers that are being written.
 #[test]
 fn a_draining_target_keeps_its_flows_and_gets_no_new_ones() {
-    let mut steering = ready(2);
-    let open = (0..50).find(|port| sent_to(&act(&mut steering, ms(1), &syn(*port))) == [target_id(1)]).unwrap();
+    let mut dispatcher = ready(2);
+    let open = (0..50).find(|port| sent_to(&act(&mut dispatcher, ms(1), &syn(*port))) == [target_id(1)]).unwrap();
     let mut facts = target_facts(1, Duration::ZERO);
     facts.draining = true;
-    steering.learn(ms(5), &news(12, StoreEntry::Target(target_id(1), Some(facts))), &mut Vec::new());
+    dispatcher.learn(ms(5), &news(12, StoreEntry::Target(target_id(1), Some(facts))), &mut Vec::new());
     for port in 100..200 {
-        assert!(!sent_to(&act(&mut steering, ms(6), &syn(port))).contains(&target_id(1)));
+        assert!(!sent_to(&act(&mut dispatcher, ms(6), &syn(port))).contains(&target_id(1)));
     }
-    steering.learn(ms(4_000), &news(13, StoreEntry::Target(target_id(1), None)), &mut Vec::new());
+    dispatcher.learn(ms(4_000), &news(13, StoreEntry::Target(target_id(1), None)), &mut Vec::new());
     let data =
         Segment { payload: 10, acknowledged: 9, cookie: cookie(target_id(1)), ..segment(open, SegmentKind::Carry) };
-    assert_eq!(sent_to(&act(&mut steering, ms(4_100), &data)), [target_id(1)]);
+    assert_eq!(sent_to(&act(&mut dispatcher, ms(4_100), &data)), [target_id(1)]);
 }
 
 /// Entries lapse while the store is out of reach of the targets, and are back two seconds later. New flows go on
 /// being placed meanwhile; a target whose entry stays away gets none after that.
 #[test]
 fn an_entry_that_lapses_is_used_for_two_more_seconds() {
-    let mut steering = ready(1);
-    steering.learn(ms(10), &news(12, StoreEntry::Target(target_id(0), None)), &mut Vec::new());
-    assert_eq!(sent_to(&act(&mut steering, ms(1_900), &syn(1))), [target_id(0)]);
-    let effects = act(&mut steering, ms(2_100), &syn(2));
+    let mut dispatcher = ready(1);
+    dispatcher.learn(ms(10), &news(12, StoreEntry::Target(target_id(0), None)), &mut Vec::new());
+    assert_eq!(sent_to(&act(&mut dispatcher, ms(1_900), &syn(1))), [target_id(0)]);
+    let effects = act(&mut dispatcher, ms(2_100), &syn(2));
     assert!(matches!(effects[..], [Effect::Reset(_)]), "{effects:?}");
 }
 
 /// Operators take a failure domain out. New flows stop at once, and four seconds later nothing at all goes there.
 #[test]
 fn an_evacuated_failure_domain_gets_nothing_after_the_grace() {
-    let mut steering = ready(2);
-    let open = (0..50).find(|port| sent_to(&act(&mut steering, ms(1), &syn(*port))) == [target_id(1)]).unwrap();
-    steering.learn(ms(5), &news(12, StoreEntry::Evacuated(domain(1), true)), &mut Vec::new());
+    let mut dispatcher = ready(2);
+    let open = (0..50).find(|port| sent_to(&act(&mut dispatcher, ms(1), &syn(*port))) == [target_id(1)]).unwrap();
+    dispatcher.learn(ms(5), &news(12, StoreEntry::Evacuated(domain(1), true)), &mut Vec::new());
     for port in 100..200 {
-        assert!(!sent_to(&act(&mut steering, ms(6), &syn(port))).contains(&target_id(1)));
+        assert!(!sent_to(&act(&mut dispatcher, ms(6), &syn(port))).contains(&target_id(1)));
     }
     let data =
         Segment { payload: 10, acknowledged: 9, cookie: cookie(target_id(1)), ..segment(open, SegmentKind::Carry) };
-    assert_eq!(sent_to(&act(&mut steering, ms(3_900), &data)), [target_id(1)]);
-    assert_eq!(sent_to(&act(&mut steering, ms(4_100), &data)), Vec::<u64>::new());
+    assert_eq!(sent_to(&act(&mut dispatcher, ms(3_900), &data)), [target_id(1)]);
+    assert_eq!(sent_to(&act(&mut dispatcher, ms(4_100), &data)), Vec::<u64>::new());
 }
 
 /// A failure domain comes back after its targets have idled. Until they are warm again they get nothing, though their
 /// entries do not say yet that they are cold.
 #[test]
 fn a_failure_domain_that_comes_back_counts_as_cold() {
-    let mut steering = ready(2);
-    steering.learn(ms(5), &news(12, StoreEntry::Evacuated(domain(1), true)), &mut Vec::new());
-    steering.learn(ms(9_000), &news(13, StoreEntry::Evacuated(domain(1), false)), &mut Vec::new());
+    let mut dispatcher = ready(2);
+    dispatcher.learn(ms(5), &news(12, StoreEntry::Evacuated(domain(1), true)), &mut Vec::new());
+    dispatcher.learn(ms(9_000), &news(13, StoreEntry::Evacuated(domain(1), false)), &mut Vec::new());
     for port in 0..200 {
         let now = ms(9_001 + u64::from(port) * 9);
-        assert!(!sent_to(&act(&mut steering, now, &syn(port))).contains(&target_id(1)));
+        assert!(!sent_to(&act(&mut dispatcher, now, &syn(port))).contains(&target_id(1)));
     }
 }
 
 /// A configuration drops a route. Its callers are told at once by a reset, open flows included.
 #[test]
 fn packets_of_a_dropped_route_are_reset() {
-    let mut steering = ready(1);
-    act(&mut steering, ms(1), &syn(1));
+    let mut dispatcher = ready(1);
+    act(&mut dispatcher, ms(1), &syn(1));
     let without = Routing { version: 2, routes: Vec::new(), ..routing() };
-    steering.learn(ms(5), &news(12, StoreEntry::Routing(without)), &mut Vec::new());
+    dispatcher.learn(ms(5), &news(12, StoreEntry::Routing(without)), &mut Vec::new());
     let data = Segment { payload: 10, cookie: cookie(target_id(0)), ..segment(1, SegmentKind::Carry) };
-    assert!(matches!(act(&mut steering, ms(6), &data)[..], [Effect::Reset(_)]));
-    assert!(matches!(act(&mut steering, ms(6), &syn(2))[..], [Effect::Reset(_)]));
+    assert!(matches!(act(&mut dispatcher, ms(6), &data)[..], [Effect::Reset(_)]));
+    assert!(matches!(act(&mut dispatcher, ms(6), &syn(2))[..], [Effect::Reset(_)]));
 }
 
 /// An instance that has just started knows no route and no target. It must not conclude from that that there are
 /// none: a reset would break flows that are open elsewhere. A SYN is kept, and placed once everything is known.
 #[test]
 fn an_instance_that_knows_nothing_yet_resets_nobody() {
-    let mut steering = steering();
+    let mut dispatcher = dispatcher();
     let data = Segment { payload: 10, cookie: 77, ..segment(1, SegmentKind::Carry) };
-    assert_eq!(act(&mut steering, ms(1), &data), Vec::new());
-    assert_eq!(act(&mut steering, ms(1), &syn(2)), Vec::new());
+    assert_eq!(act(&mut dispatcher, ms(1), &data), Vec::new());
+    assert_eq!(act(&mut dispatcher, ms(1), &syn(2)), Vec::new());
     let mut effects = Vec::new();
-    steering.learn(ms(30), &whole(1), &mut effects);
+    dispatcher.learn(ms(30), &whole(1), &mut effects);
     assert_eq!(sent_to(&effects), [target_id(0)]);
     let kept = matches!(&effects[0], Effect::Forward { packet: Packet::Kept(kept), .. } if &kept[..] == b"packet");
     assert!(kept, "{effects:?}");
@@ -210,23 +210,23 @@
 /// instance has yet to hear of, so it is dropped and counted, and never reset.
 #[test]
 fn an_unknown_cookie_is_dropped_in_silence() {
-    let mut steering = ready(1);
+    let mut dispatcher = ready(1);
     let data = Segment { payload: 10, cookie: 0xDEAD, ..segment(1, SegmentKind::Carry) };
-    assert_eq!(act(&mut steering, ms(1), &data), Vec::new());
-    assert_eq!(steering.counts().get(Outcome::DroppedUnknownCookie), 1);
+    assert_eq!(act(&mut dispatcher, ms(1), &data), Vec::new());
+    assert_eq!(dispatcher.counts().get(Outcome::DroppedUnknownCookie), 1);
 }
 
 /// Two targets have answered one SYN, since the first was slow. The caller repeats the cookie that it heard last, but
 /// its flow is open at the one whose answer it took. Its packets must keep going there.
 #[test]
 fn a_second_answer_to_a_syn_does_not_lead_the_flow_astray() {
-    let mut steering = ready(2);
-    let first = sent_to(&act(&mut steering, ms(1), &syn(1)))[0];
+    let mut dispatcher = ready(2);
+    let first = sent_to(&act(&mut dispatcher, ms(1), &syn(1)))[0];
     let other = target_id(usize::from(first == target_id(0)));
     let data = Segment { payload: 10, acknowledged: 9, cookie: cookie(first), ..segment(1, SegmentKind::Carry) };
-    assert_eq!(sent_to(&act(&mut steering, ms(8), &data)), [first]);
+    assert_eq!(sent_to(&act(&mut dispatcher, ms(8), &data)), [first]);
     let misled = Segment { acknowledged: 2_000, cookie: cookie(other), ..data };
-    let effects = act(&mut steering, ms(60), &misled);
+    let effects = act(&mut dispatcher, ms(60), &misled);
     assert_eq!(sent_to(&effects), [first]);
     assert!(matches!(effects[0], Effect::Forward { cookie: Some(put), .. } if put == cookie(first)));
 }
@@ -235,14 +235,14 @@
 /// its clock. The targets are not to blame, and no SYN is sent a second time.
 #[test]
 fn a_freeze_puts_no_target_under_suspicion() {
-    let mut steering = ready(4);
+    let mut dispatcher = ready(4);
     for port in 0..8 {
-        act(&mut steering, ms(1), &syn(port));
+        act(&mut dispatcher, ms(1), &syn(port));
     }
     let mut effects = Vec::new();
-    steering.tick(ms(1_200), &mut effects);
+    dispatcher.tick(ms(1_200), &mut effects);
     assert_eq!(effects, Vec::new());
-    assert_eq!(steering.outliers().avoided(ms(1_200)).count(), 0);
+    assert_eq!(dispatcher.outliers().avoided(ms(1_200)).count(), 0);
 }
 
 proptest! {
@@ -251,7 +251,7 @@
     fn any_packet_is_handled(
         packets in vec((0_u16..6, 0_u8..4, any::<u32>(), any::<u32>(), any::<u16>(), 0_u32..6), 1..200),
     ) {
-        let mut steering = ready(3);
+        let mut dispatcher = ready(3);
         let mut now = Timestamp::ZERO;
         for (port, kind, sequence, acknowledged, payload, cookie_of) in packets {
             now += ms(u64::from(payload % 97));
@@ -263,8 +263,8 @@
             };
             let known = cookie(target_id(usize::try_from(cookie_of).unwrap()));
             let segment = Segment { flow: flow(port), kind, sequence, acknowledged, payload, cookie: known };
-            let mut effects = act(&mut steering, now, &segment);
-            steering.tick(now, &mut effects);
+            let mut effects = act(&mut dispatcher, now, &segment);
+            dispatcher.tick(now, &mut effects);
             for target in sent_to(&effects) {
                 prop_assert!((0..3).any(|index| target_id(index) == target));
             }
@@ -276,52 +276,52 @@
 /// first caller that it answers must not bring the usual load down on it; a second and a half later it is still cold.
 #[test]
 fn a_target_that_answers_after_a_silence_counts_as_cold() {
-    let mut steering = ready(4);
+    let mut dispatcher = ready(4);
     let mut tries = 0;
     for round in 0..40_u16 {
         let now = ms(u64::from(round) * 100);
-        let opened = (round * 6..round * 6 + 6).map(|port| (port, sent_to(&act(&mut steering, now, &syn(port)))));
+        let opened = (round * 6..round * 6 + 6).map(|port| (port, sent_to(&act(&mut dispatcher, now, &syn(port)))));
         for (port, sent) in opened.collect::<Vec<_>>() {
             match sent.last().copied() {
-                Some(target) if target != target_id(2) => answer(&mut steering, now, port, target),
+                Some(target) if target != target_id(2) => answer(&mut dispatcher, now, port, target),
                 sent => tries += usize::from(sent.is_some()),
             }
         }
-        steering.tick(now + ms(45), &mut Vec::new());
+        dispatcher.tick(now + ms(45), &mut Vec::new());
     }
     assert!((2..16).contains(&tries), "a dead target was tried {tries} times");
     let back = ms(8_000);
-    let open = |port: &u16| sent_to(&act(&mut steering, back, &syn(*port))).contains(&target_id(2));
+    let open = |port: &u16| sent_to(&act(&mut dispatcher, back, &syn(*port))).contains(&target_id(2));
     let trial = (1_000..1_020).find(open).unwrap();
-    answer(&mut steering, back, trial, target_id(2));
+    answer(&mut dispatcher, back, trial, target_id(2));
     for port in 2_000..2_100 {
         let now = back + ms(8 + u64::from(port - 2_000) * 15);
-        assert!(!sent_to(&act(&mut steering, now, &syn(port))).contains(&target_id(2)));
+        assert!(!sent_to(&act(&mut dispatcher, now, &syn(port))).contains(&target_id(2)));
     }
 }
 
 /// Lets a target finish the handshake of a flow and answer its request.
-fn answer(steering: &mut Steering, now: Timestamp, port: u16, target: u64) {
+fn answer(dispatcher: &mut Dispatcher, now: Timestamp, port: u16, target: u64) {
     let data = Segment { payload: 9, acknowledged: 9, cookie: cookie(target), ..segment(port, SegmentKind::Carry) };
-    act(steering, now + ms(7), &data);
+    act(dispatcher, now + ms(7), &data);
     let received = Segment { acknowledged: 900, payload: 0, ..data };
-    act(steering, now + ms(30), &received);
+    act(dispatcher, now + ms(30), &received);
 }
 
 /// A process was paused for seconds. What it knows is as old, and so new flows wait until a peer or the store has
 /// confirmed it, or for 400 ms when nobody does.
 #[test]
 fn after_a_standstill_new_flows_wait_for_word() {
-    let mut steering = ready(1);
-    steering.paused(ms(5_000));
-    assert_eq!(act(&mut steering, ms(5_001), &syn(1)), Vec::new());
+    let mut dispatcher = ready(1);
+    dispatcher.paused(ms(5_000));
+    assert_eq!(act(&mut dispatcher, ms(5_001), &syn(1)), Vec::new());
     let mut effects = Vec::new();
-    steering.confirm_news(ms(5_090), &mut effects);
+    dispatcher.confirm_news(ms(5_090), &mut effects);
     assert_eq!(sent_to(&effects), [target_id(0)]);
-    steering.paused(ms(9_000));
-    assert_eq!(act(&mut steering, ms(9_300), &syn(2)), Vec::new());
+    dispatcher.paused(ms(9_000));
+    assert_eq!(act(&mut dispatcher, ms(9_300), &syn(2)), Vec::new());
     let mut effects = Vec::new();
-    steering.tick(ms(9_410), &mut effects);
+    dispatcher.tick(ms(9_410), &mut effects);
     assert_eq!(sent_to(&effects), [target_id(0)]);
 }
 
@@ -340,7 +340,7 @@
 /// back cold a second later, all instances would send it their full share until the store has told them.
 #[test]
 fn flows_that_peers_give_up_are_no_sign_of_life() {
-    let mut steering = ready(1);
+    let mut dispatcher = ready(1);
     let mut effects = Vec::new();
     let target = cookie(target_id(0));
     for round in 0..10_u32 {
@@ -350,11 +350,11 @@
             avoid: vec![(target, ms(600))],
             ..LoadReport::default()
         };
-        steering.receive(now, &started, &mut effects);
-        steering.receive(now + ms(50), &LoadReport { abandoned: vec![round], ..LoadReport::default() }, &mut effects);
-        assert_eq!(steering.open_requests().total(), 0);
+        dispatcher.receive(now, &started, &mut effects);
+        dispatcher.receive(now + ms(50), &LoadReport { abandoned: vec![round], ..LoadReport::default() }, &mut effects);
+        assert_eq!(dispatcher.open_requests().total(), 0);
     }
-    let trust = steering.outliers().availability(ms(1_200), target_id(0), ms(40), || false);
+    let trust = dispatcher.outliers().availability(ms(1_200), target_id(0), ms(40), || false);
     assert_eq!(trust, Availability::Unresponsive);
 }
 
@@ -363,17 +363,17 @@
 /// more than a cold target bears.
 #[test]
 fn copies_for_a_target_that_was_restarted_cold_come_at_a_trickle() {
-    let mut steering = ready(1);
+    let mut dispatcher = ready(1);
     let mut effects = Vec::new();
     for port in 1..10 {
-        steering.packet(ms(10), &syn(port), b"syn", &mut effects);
+        dispatcher.packet(ms(10), &syn(port), b"syn", &mut effects);
     }
     let restarted = StoreEntry::Target(target_id(0), Some(target_facts(0, Duration::from_secs(2))));
     let facts = vec![VersionedEntry { revision: 30, entry: restarted }];
-    steering.learn(ms(100), &Delta { since: 11, revision: 30, is_snapshot: false, entries: facts }, &mut effects);
+    dispatcher.learn(ms(100), &Delta { since: 11, revision: 30, is_snapshot: false, entries: facts }, &mut effects);
     effects.clear();
     for port in 1..10 {
-        steering.packet(ms(210), &segment(port, SegmentKind::Open { copies: 1 }), b"syn", &mut effects);
+        dispatcher.packet(ms(210), &segment(port, SegmentKind::Open { copies: 1 }), b"syn", &mut effects);
     }
     let sent = effects.iter().filter(|effect| matches!(effect, Effect::Forward { .. })).count();
     assert_eq!(sent, 1, "{effects:?}");
@@ -383,32 +383,32 @@
 /// to give them a trickle. Whoever hears that another has just placed a flow on a cold target holds back.
 #[test]
 fn a_trickle_that_a_peer_has_spent_is_not_spent_again() {
-    let mut steering = steering();
+    let mut dispatcher = dispatcher();
     let mut picture = whole(1);
     picture.entries[0].entry = StoreEntry::Target(target_id(0), Some(target_facts(0, Duration::from_mins(1))));
-    steering.learn(Timestamp::ZERO, &picture, &mut Vec::new());
+    dispatcher.learn(Timestamp::ZERO, &picture, &mut Vec::new());
     let spent = LoadReport { started: vec![open_request(9, cookie(target_id(0)))], ..LoadReport::default() };
-    steering.receive(ms(1_000), &spent, &mut Vec::new());
-    assert_eq!(sent_to(&act(&mut steering, ms(1_500), &syn(1))), Vec::<u64>::new());
-    assert_eq!(sent_to(&act(&mut steering, ms(2_100), &syn(2))), [target_id(0)]);
-    assert_eq!(sent_to(&act(&mut steering, ms(2_900), &syn(3))), Vec::<u64>::new());
+    dispatcher.receive(ms(1_000), &spent, &mut Vec::new());
+    assert_eq!(sent_to(&act(&mut dispatcher, ms(1_500), &syn(1))), Vec::<u64>::new());
+    assert_eq!(sent_to(&act(&mut dispatcher, ms(2_100), &syn(2))), [target_id(0)]);
+    assert_eq!(sent_to(&act(&mut dispatcher, ms(2_900), &syn(3))), Vec::<u64>::new());
 }
 
 /// After a cut a thousand flows end whose callers were served elsewhere. Logged like requests that nobody answered they
 /// lead an engineer who looks for failures astray.
 #[test]
 fn a_handshake_that_nobody_finished_is_no_unanswered_request() {
-    let mut steering = ready(3);
-    act(&mut steering, ms(1), &syn(1));
-    act(&mut steering, ms(2), &syn(2));
-    act(&mut steering, ms(5), &Segment { acknowledged: 100, payload: 40, ..segment(2, SegmentKind::Carry) });
+    let mut dispatcher = ready(3);
+    act(&mut dispatcher, ms(1), &syn(1));
+    act(&mut dispatcher, ms(2), &syn(2));
+    act(&mut dispatcher, ms(5), &Segment { acknowledged: 100, payload: 40, ..segment(2, SegmentKind::Carry) });
     for step in 0..2_000_u64 {
-        steering.tick(ms(step * 10), &mut Vec::new());
+        dispatcher.tick(ms(step * 10), &mut Vec::new());
     }
     let ended = |port: u16, outcome: Outcome, decisions: &[Decision]| {
         decisions.iter().any(|decision| decision.flow == flow(port) && decision.outcome == outcome)
     };
-    let decisions = steering.take_decisions();
+    let decisions = dispatcher.take_decisions();
     assert!(ended(1, Outcome::HandshakeUnfinished, &decisions));
     assert!(!ended(1, Outcome::EndedUnanswered, &decisions));
     assert!(ended(2, Outcome::EndedUnanswered, &decisions));
--- a/crates/direct/src/callers.rs
+++ b/crates/direct/src/callers.rs
@@ -7,9 +7,9 @@
 use serde::Serialize;
 use tokio::net::UdpSocket;
 
+use hawthornshift_core::direct::dispatcher::Effect;
+use hawthornshift_core::direct::dispatcher::Packet;
 use hawthornshift_core::direct::segment::Segment;
-use hawthornshift_core::direct::steering::Effect;
-use hawthornshift_core::direct::steering::Packet;
 use hawthornshift_platform::packet;
 use hawthornshift_platform::packet::ADDRESSEE_BYTES;
 use hawthornshift_platform::packet::HEAD_BYTES;
--- a/crates/direct/src/dump.rs
+++ b/crates/direct/src/dump.rs
@@ -7,9 +7,9 @@
 use hawthornshift_core::Timestamp;
 use hawthornshift_core::direct::decision::OutcomeCounts;
 use hawthornshift_core::direct::directory::Target;
+use hawthornshift_core::direct::dispatcher::Dispatcher;
 use hawthornshift_core::direct::fleet::Fleet;
 use hawthornshift_core::direct::mechanisms::Mechanisms;
-use hawthornshift_core::direct::steering::Steering;
 use hawthornshift_core::message::MemberUpdate;
 
 /// Counts that belong to the process itself.
@@ -79,7 +79,7 @@
     /// What is switched off for a trial.
     pub mechanisms: Mechanisms,
     /// Decisions about packets.
-    pub steering: &'a Steering,
+    pub dispatcher: &'a Dispatcher,
     /// The other instances.
     pub fleet: &'a Fleet,
     /// Counts of the callers' socket.
@@ -93,13 +93,13 @@
 /// Returns the state as JSON.
 #[must_use]
 pub fn render(now: Timestamp, sources: &Sources<'_>) -> String {
-    let Sources { ready, mechanisms, steering, fleet, callers, peers, process } = *sources;
-    let directory = steering.directory();
-    let (flows, waiting) = steering.sizes();
+    let Sources { ready, mechanisms, dispatcher, fleet, callers, peers, process } = *sources;
+    let directory = dispatcher.directory();
+    let (flows, waiting) = dispatcher.sizes();
     let targets = directory.targets().map(|target| TargetState {
         target,
-        work: steering.open_requests().count(target.id),
-        slowness: steering.open_requests().slowness(now, target.id),
+        work: dispatcher.open_requests().count(target.id),
+        slowness: dispatcher.open_requests().slowness(now, target.id),
         cold: target.is_cold(now),
         takes_flows: target.takes_flows(now) && !directory.is_evacuated(&target.spec.failure_domain),
     });
@@ -114,7 +114,7 @@
         waiting,
         targets: targets.collect(),
         members: fleet.members().collect(),
-        outcomes: steering.counts(),
+        outcomes: dispatcher.counts(),
         callers,
         peers,
         process,
--- a/crates/direct/src/metrics.rs
+++ b/crates/direct/src/metrics.rs
@@ -31,8 +31,8 @@
 }
 
 fn record_state(now: Timestamp, sources: &Sources<'_>) {
-    let directory = sources.steering.directory();
-    let (flows, waiting) = sources.steering.sizes();
+    let directory = sources.dispatcher.directory();
+    let (flows, waiting) = sources.dispatcher.sizes();
     let flag = |value: bool| f64::from(u8::from(value));
     gauge!("hawthornshift_ready").set(flag(sources.ready));
     gauge!("hawthornshift_watching_store").set(flag(sources.fleet.watcher_role().is_watching()));
@@ -43,11 +43,11 @@
     gauge!("hawthornshift_instances_serving").set(number(sources.fleet.serving().len()));
     gauge!("hawthornshift_flows_recorded").set(number(flows));
     gauge!("hawthornshift_flows_waiting").set(number(waiting));
-    gauge!("hawthornshift_work_open").set(number(sources.steering.open_requests().total()));
-    gauge!("hawthornshift_targets_avoided").set(number(sources.steering.outliers().avoided(now).count()));
-    gauge!("hawthornshift_targets_unreachable").set(number(sources.steering.unreachable()));
-    gauge!("hawthornshift_targets_failing").set(number(sources.steering.failing(now)));
-    gauge!("hawthornshift_limits_in_force").set(number(sources.steering.limits_in_force()));
+    gauge!("hawthornshift_work_open").set(number(sources.dispatcher.open_requests().total()));
+    gauge!("hawthornshift_targets_avoided").set(number(sources.dispatcher.outliers().avoided(now).count()));
+    gauge!("hawthornshift_targets_unreachable").set(number(sources.dispatcher.unreachable()));
+    gauge!("hawthornshift_targets_failing").set(number(sources.dispatcher.failing(now)));
+    gauge!("hawthornshift_limits_in_force").set(number(sources.dispatcher.limits_in_force()));
     let takes = directory.targets().filter(|target| target.takes_flows(now)).count();
     gauge!("hawthornshift_targets_listed").set(number(takes));
 }
@@ -55,9 +55,9 @@
 fn record_decisions(sources: &Sources<'_>) {
     for outcome in Outcome::iter() {
         let name: &'static str = outcome.into();
-        counter!("hawthornshift_decisions_total", "outcome" => name).absolute(sources.steering.counts().get(outcome));
+        counter!("hawthornshift_decisions_total", "outcome" => name).absolute(sources.dispatcher.counts().get(outcome));
     }
-    for (name, histogram) in sources.steering.latencies() {
+    for (name, histogram) in sources.dispatcher.latencies() {
         counter!("hawthornshift_latency_samples_total", "of" => name).absolute(histogram.len());
         for (quantile, label) in QUANTILES {
             let millis = u32::try_from(histogram.value_at_quantile(quantile)).unwrap_or(u32::MAX);
--- a/crates/direct/src/process.rs
+++ b/crates/direct/src/process.rs
@@ -44,6 +44,9 @@
 use crate::reload::Reload;
 use crate::store_reader;
 use hawthornshift_core::Timestamp;
+use hawthornshift_core::direct::dispatcher::Dispatcher;
+use hawthornshift_core::direct::dispatcher::DispatcherConfig;
+use hawthornshift_core::direct::dispatcher::Effect;
 use hawthornshift_core::direct::fleet;
 use hawthornshift_core::direct::fleet::ChangeLog;
 use hawthornshift_core::direct::fleet::Fleet;
@@ -55,9 +58,6 @@
 use hawthornshift_core::direct::pause::PauseDetector;
 use hawthornshift_core::direct::readiness::Readiness;
 use hawthornshift_core::direct::starting::Starting;
-use hawthornshift_core::direct::steering::Effect;
-use hawthornshift_core::direct::steering::Steering;
-use hawthornshift_core::direct::steering::SteeringConfig;
 use hawthornshift_core::direct::stopping::Stopping;
 use hawthornshift_core::membership::Identity;
 use hawthornshift_model::InstanceId;
@@ -80,7 +80,7 @@
     config: Config,
     started: Instant,
     log: Logger,
-    steering: Steering,
+    dispatcher: Dispatcher,
     fleet: Fleet,
     callers: CallerSocket,
     peers: PeerSocket,
@@ -120,7 +120,7 @@
             control: platform.peers,
             forward: platform.peers,
         };
-        let steering = Steering::new(SteeringConfig {
+        let dispatcher = Dispatcher::new(DispatcherConfig {
             id,
             domain: platform.failure_domain.clone(),
             evacuation_grace: platform.evacuation.mul_f64(EVACUATION_PART),
@@ -142,7 +142,7 @@
         Ok(Self {
             started: Instant::now(),
             log: config.log.clone(),
-            steering,
+            dispatcher,
             fleet: Fleet::new(Timestamp::ZERO, identity, &platform.seeds),
             callers: CallerSocket::bind(platform.packets).await?,
             peers: PeerSocket::bind(platform.peers).await?,
@@ -212,8 +212,8 @@
     }
 
     fn next_due(&self) -> Timestamp {
-        let due = self.steering.next_due().min(self.next_fleet);
-        if self.steering.directory().is_synced() || self.pulling {
+        let due = self.dispatcher.next_due().min(self.next_fleet);
+        if self.dispatcher.directory().is_synced() || self.pulling {
             return due;
         }
         due.min(self.starting.next_due(self.fleet.watcher_role().should_read()))
@@ -247,7 +247,7 @@
             }
             // Malformed ones are counted by the socket.
             let Ok(segment) = decoded else { continue };
-            self.steering.packet(now, &segment, self.callers.packet(), &mut self.effects);
+            self.dispatcher.packet(now, &segment, self.callers.packet(), &mut self.effects);
             self.carry_out();
         }
     }
@@ -256,7 +256,7 @@
         for _ in 0..BATCH {
             let Some(frame) = self.peers.read() else { return };
             let now = self.now();
-            let effects = self.fleet.frame(now, frame, self.steering.directory().revision());
+            let effects = self.fleet.frame(now, frame, self.dispatcher.directory().revision());
             self.carry_out_fleet(effects);
         }
     }
@@ -277,12 +277,12 @@
                 FleetEffect::Send(to, frame) => self.send(&to, frame),
                 FleetEffect::RoleChange(duty) => self.order(duty),
                 // One that knows nothing yet asks at its own pace, and not all of them the same instance.
-                FleetEffect::Pull(_) if !self.steering.directory().is_synced() => self.starting.hasten(now),
+                FleetEffect::Pull(_) if !self.dispatcher.directory().is_synced() => self.starting.hasten(now),
                 FleetEffect::Pull(from) => self.pull(from),
                 FleetEffect::UpToDate => self.confirm_news(now),
                 FleetEffect::ApplyDelta(delta) => self.learn(now, &delta, "peer"),
                 FleetEffect::ApplyLoadReport(report) => {
-                    self.steering.receive(now, &report, &mut self.effects);
+                    self.dispatcher.receive(now, &report, &mut self.effects);
                     self.carry_out();
                 }
                 FleetEffect::Changed => self.fleet_changed(),
@@ -305,7 +305,7 @@
         let gap = self.pause.turn(now, time_of_day());
         if let Some(gap) = gap.filter(|_| self.config.mechanisms.has(Mechanism::PauseDetection)) {
             warn!(self.log, "process paused"; "for_ms" => millis(gap));
-            self.steering.paused(now);
+            self.dispatcher.paused(now);
             self.fleet.paused(now);
             self.callers.drop_waiting();
             self.read_peers();
@@ -326,7 +326,7 @@
     fn fleet_changed(&mut self) {
         let serving = self.fleet.serving();
         self.changes.note(&serving);
-        self.steering.set_fleet(self.now(), serving, self.fleet.group_ids(), self.fleet.is_one_group());
+        self.dispatcher.set_fleet(self.now(), serving, self.fleet.group_ids(), self.fleet.is_one_group());
         self.group = self.fleet.group();
     }
 
@@ -336,7 +336,7 @@
             Command::StoreSaid { delta, refused } => self.store_said(now, &delta, refused),
             Command::StoreFailed { reason } => self.store_failed(&reason),
             Command::Checked { target, outcome } => {
-                self.steering.checked(now, target, outcome, &mut self.effects);
+                self.dispatcher.checked(now, target, outcome, &mut self.effects);
                 self.carry_out();
             }
             Command::Pulled { outcome, took } => self.pulled(now, &outcome, took),
@@ -350,7 +350,7 @@
         Sources {
             ready: self.ready.load(Ordering::Relaxed),
             mechanisms: self.config.mechanisms,
-            steering: &self.steering,
+            dispatcher: &self.dispatcher,
             fleet: &self.fleet,
             callers: self.callers.counts(),
             peers: self.peers.counts(),
@@ -364,12 +364,12 @@
             return;
         }
         let now = self.now();
-        let readiness = self.steering.readiness(now, self.fleet.reaches_other_domains(now));
+        let readiness = self.dispatcher.readiness(now, self.fleet.reaches_other_domains(now));
         let ready = readiness == Readiness::Ready;
         if self.ready.swap(ready, Ordering::Relaxed) == ready {
             return;
         }
-        let revision = self.steering.directory().revision();
+        let revision = self.dispatcher.directory().revision();
         if ready {
             info!(self.log, "ready"; "after_ms" => millis(now), "revision" => revision);
         } else {
@@ -379,18 +379,18 @@
 
     fn tick(&mut self) {
         let now = self.now();
-        if now >= self.steering.next_due() {
-            self.steering.tick(now, &mut self.effects);
+        if now >= self.dispatcher.next_due() {
+            self.dispatcher.tick(now, &mut self.effects);
             self.carry_out();
         }
-        if !self.steering.directory().is_synced() {
+        if !self.dispatcher.directory().is_synced() {
             self.ask_for_everything(now);
         }
         if now < self.next_fleet {
             return;
         }
         self.next_fleet = now + FLEET_PERIOD;
-        let effects = self.fleet.tick(now, self.steering.directory().revision());
+        let effects = self.fleet.tick(now, self.dispatcher.directory().revision());
         self.carry_out_fleet(effects);
         self.log_changes(now);
         self.look_at_readiness();
@@ -410,21 +410,21 @@
     /// Tells the group what this turn brought, and writes the decisions down.
     fn flush(&mut self) {
         let now = self.now();
-        let report = self.steering.take_report();
+        let report = self.dispatcher.take_report();
         if !report.is_empty() && !self.group.is_empty() {
             for part in report.parts() {
                 self.peers.send(&self.group, &Frame::LoadReport(part));
             }
         }
-        let directory = self.steering.directory();
+        let directory = self.dispatcher.directory();
         let age = self.fleet.watcher_role().age(now);
         let knowledge = Knowledge { revision: directory.revision(), version: directory.version(), age };
-        for change in self.steering.take_reach_changes() {
+        for change in self.dispatcher.take_reach_changes() {
             let reachability: &str = change.reachability.into();
             info!(self.log, "target reachability"; "target" => format!("{:x}", change.target),
                 "is" => reachability, "failed_checks" => change.failed, "revision" => knowledge.revision);
         }
-        for decision in self.steering.take_decisions() {
+        for decision in self.dispatcher.take_decisions() {
             self.decision_log.write(now, &decision, knowledge);
         }
     }
--- a/crates/direct/src/process/news.rs
+++ b/crates/direct/src/process/news.rs
@@ -27,14 +27,14 @@
 
 impl Process {
     pub(super) fn confirm_news(&mut self, now: Timestamp) {
-        self.steering.confirm_news(now, &mut self.effects);
+        self.dispatcher.confirm_news(now, &mut self.effects);
         self.carry_out();
     }
 
     pub(super) fn order(&mut self, duty: RoleChange) {
         let watching = duty == RoleChange::Begin;
         info!(self.log, "store duty"; "watching" => watching, "age_ms" => millis(self.fleet.watcher_role().age(self.now())));
-        let after = if self.steering.directory().is_synced() { self.steering.directory().revision() } else { 0 };
+        let after = if self.dispatcher.directory().is_synced() { self.dispatcher.directory().revision() } else { 0 };
         self.orders.send_replace(if watching { Order::Watch { after } } else { Order::Rest });
     }
 
@@ -43,7 +43,7 @@
         if std::mem::replace(&mut self.pulling, true) {
             return;
         }
-        let since = self.steering.directory().fetch_since();
+        let since = self.dispatcher.directory().fetch_since();
         let (tx, log) = (self.tx.clone(), self.log.clone());
         tokio::spawn(async move {
             let asked = Instant::now();
@@ -75,9 +75,9 @@
         self.learn(now, delta, "store");
         self.confirm_news(now);
         if !delta.entries.is_empty() {
-            let revision = self.steering.directory().revision();
+            let revision = self.dispatcher.directory().revision();
             // A whole picture is large and comes after a gap: it is announced, and who lacks it pulls it.
-            let told = self.steering.directory().delta_for_peers(delta);
+            let told = self.dispatcher.directory().delta_for_peers(delta);
             let told = peers::fits_push(&told).then(|| Arc::new(told));
             let effects = if delta.is_snapshot { Vec::new() } else { self.fleet.push(now, revision, told) };
             self.carry_out_fleet(effects);
@@ -109,7 +109,7 @@
         self.confirm_news(now);
         let effects = self.fleet.adopt(now, &handover.members);
         self.carry_out_fleet(effects);
-        let changed = self.steering.adopt(now, handover, &mut self.effects);
+        let changed = self.dispatcher.adopt(now, handover, &mut self.effects);
         self.carry_out();
         if changed {
             self.learned(&handover.delta, "handover", took);
@@ -119,7 +119,7 @@
     /// Tells an instance what it needs that knows everything up to a revision; the other instances too if it has just
     /// started.
     pub(super) fn hand_over(&mut self, now: Timestamp, since: Revision, answer: oneshot::Sender<Vec<u8>>) {
-        let handover = self.steering.handover(now, since);
+        let handover = self.dispatcher.handover(now, since);
         let starts = since == 0;
         let members = if starts { self.fleet.handover() } else { Vec::new() };
         let body = match peers::encode_handover(&Handover { members, ..handover }) {
@@ -137,7 +137,7 @@
     }
 
     pub(super) fn learn(&mut self, now: Timestamp, delta: &Delta, from: &'static str) {
-        let changed = self.steering.learn(now, delta, &mut self.effects);
+        let changed = self.dispatcher.learn(now, delta, &mut self.effects);
         self.carry_out();
         if changed {
             self.learned(delta, from, Duration::ZERO);
@@ -146,7 +146,7 @@
 
     /// Logs news that took so long to be asked for.
     pub(super) fn learned(&mut self, delta: &Delta, from: &'static str, took: Duration) {
-        let directory = self.steering.directory();
+        let directory = self.dispatcher.directory();
         info!(self.log, "news"; "from" => from, "facts" => delta.entries.len(), "whole" => delta.is_snapshot,
             "took_ms" => millis(took), "revision" => directory.revision(), "version" => directory.version());
         self.look_at_readiness();
