--- a/crates/core/src/direct/dispatcher/mod.rs
+++ b/crates/core/src/direct/dispatcher/mod.rs
@@ -319,7 +319,7 @@
     }
 
     /// Takes over news of the store; tells whether anything was new.
-    pub fn learn(&mut self, now: Timestamp, delta: &Delta, effects: &mut Vec<Effect>) -> bool {
+    pub fn apply_delta(&mut self, now: Timestamp, delta: &Delta, effects: &mut Vec<Effect>) -> bool {
         let changed = self.directory.apply(now, delta);
         if changed {
             let directory = &self.directory;
@@ -407,7 +407,7 @@
         for (target, avoidance) in &handover.avoid {
             self.outliers.receive(now, *target, *avoidance);
         }
-        self.learn(now, &handover.delta, effects)
+        self.apply_delta(now, &handover.delta, effects)
     }
 
     /// Decides about a caller's packet.
--- a/crates/core/tests/direct/fleet.rs
+++ b/crates/core/tests/direct/fleet.rs
@@ -405,7 +405,7 @@
     pub fn publish(&mut self, delta: &Delta) {
         for index in 0..self.instances.len() {
             self.with(index, |instance, now, effects| {
-                instance.dispatcher.learn(now, delta, effects);
+                instance.dispatcher.apply_delta(now, delta, effects);
             });
         }
     }
@@ -587,7 +587,7 @@
                     });
                 }
                 FleetEffect::ApplyDelta(delta) => {
-                    self.with(index, |instance, now, effects| instance.dispatcher.learn(now, &delta, effects));
+                    self.with(index, |instance, now, effects| instance.dispatcher.apply_delta(now, &delta, effects));
                 }
                 FleetEffect::Pull(_) | FleetEffect::RoleChange(_) | FleetEffect::UpToDate => {}
             }
@@ -603,7 +603,7 @@
             Event::Start(index) => self.start(index),
             Event::Learned(index, life) if self.is_life(index, life) => {
                 let picture = self.picture.clone();
-                self.with(index, |instance, now, effects| instance.dispatcher.learn(now, &picture, effects));
+                self.with(index, |instance, now, effects| instance.dispatcher.apply_delta(now, &picture, effects));
                 self.ask_peer(index, life);
             }
             Event::Tick(index, life) if self.is_life(index, life) => self.tick(index, life),
--- a/crates/core/tests/direct/readiness.rs
+++ b/crates/core/tests/direct/readiness.rs
@@ -24,11 +24,11 @@
     };
     let mut dispatcher = Dispatcher::new(config);
     assert_eq!(dispatcher.readiness(Timestamp::ZERO, true), Readiness::NotSynced);
-    dispatcher.learn(Timestamp::ZERO, &whole(8), &mut Vec::new());
+    dispatcher.apply_delta(Timestamp::ZERO, &whole(8), &mut Vec::new());
     assert_eq!(dispatcher.readiness(Timestamp::ZERO, false), Readiness::Ready);
     let taken_out = VersionedEntry { revision: 20, entry: StoreEntry::Evacuated(domain(0), true) };
     let delta = Delta { since: 11, revision: 20, is_snapshot: false, entries: vec![taken_out] };
-    dispatcher.learn(Timestamp::ZERO, &delta, &mut Vec::new());
+    dispatcher.apply_delta(Timestamp::ZERO, &delta, &mut Vec::new());
     dispatcher
 }
 
@@ -57,6 +57,6 @@
         entry: StoreEntry::Evacuated(domain(index), true),
     };
     let delta = Delta { since: 20, revision: 40, is_snapshot: false, entries: (1..4).map(out).collect() };
-    dispatcher.learn(ms(10), &delta, &mut Vec::new());
+    dispatcher.apply_delta(ms(10), &delta, &mut Vec::new());
     assert_eq!(dispatcher.readiness(ms(20), false), Readiness::Ready);
 }
--- a/crates/core/tests/direct/rules.rs
+++ b/crates/core/tests/direct/rules.rs
@@ -48,7 +48,7 @@
 
 fn ready(targets: usize) -> Dispatcher {
     let mut dispatcher = dispatcher();
-    dispatcher.learn(Timestamp::ZERO, &whole(targets), &mut Vec::new());
+    dispatcher.apply_delta(Timestamp::ZERO, &whole(targets), &mut Vec::new());
     dispatcher
 }
 
@@ -112,7 +112,7 @@
 fn a_cold_target_gets_nothing_while_a_warm_one_stands() {
     let mut dispatcher = ready(2);
     let cold = StoreEntry::Target(target_id(2), Some(target_facts(2, Duration::from_secs(2))));
-    dispatcher.learn(Duration::from_secs(1), &news(12, cold), &mut Vec::new());
+    dispatcher.apply_delta(Duration::from_secs(1), &news(12, cold), &mut Vec::new());
     for port in 0..200 {
         let now = Duration::from_secs(1) + ms(u64::from(port) * 9);
         let effects = act(&mut dispatcher, now, &syn(1_000 + port));
@@ -130,11 +130,11 @@
     let open = (0..50).find(|port| sent_to(&act(&mut dispatcher, ms(1), &syn(*port))) == [target_id(1)]).unwrap();
     let mut facts = target_facts(1, Duration::ZERO);
     facts.draining = true;
-    dispatcher.learn(ms(5), &news(12, StoreEntry::Target(target_id(1), Some(facts))), &mut Vec::new());
+    dispatcher.apply_delta(ms(5), &news(12, StoreEntry::Target(target_id(1), Some(facts))), &mut Vec::new());
     for port in 100..200 {
         assert!(!sent_to(&act(&mut dispatcher, ms(6), &syn(port))).contains(&target_id(1)));
     }
-    dispatcher.learn(ms(4_000), &news(13, StoreEntry::Target(target_id(1), None)), &mut Vec::new());
+    dispatcher.apply_delta(ms(4_000), &news(13, StoreEntry::Target(target_id(1), None)), &mut Vec::new());
     let data =
         Segment { payload: 10, acknowledged: 9, cookie: cookie(target_id(1)), ..segment(open, SegmentKind::Carry) };
     assert_eq!(sent_to(&act(&mut dispatcher, ms(4_100), &data)), [target_id(1)]);
@@ -145,7 +145,7 @@
 #[test]
 fn an_entry_that_lapses_is_used_for_two_more_seconds() {
     let mut dispatcher = ready(1);
-    dispatcher.learn(ms(10), &news(12, StoreEntry::Target(target_id(0), None)), &mut Vec::new());
+    dispatcher.apply_delta(ms(10), &news(12, StoreEntry::Target(target_id(0), None)), &mut Vec::new());
     assert_eq!(sent_to(&act(&mut dispatcher, ms(1_900), &syn(1))), [target_id(0)]);
     let effects = act(&mut dispatcher, ms(2_100), &syn(2));
     assert!(matches!(effects[..], [Effect::Reset(_)]), "{effects:?}");
@@ -156,7 +156,7 @@
 fn an_evacuated_failure_domain_gets_nothing_after_the_grace() {
     let mut dispatcher = ready(2);
     let open = (0..50).find(|port| sent_to(&act(&mut dispatcher, ms(1), &syn(*port))) == [target_id(1)]).unwrap();
-    dispatcher.learn(ms(5), &news(12, StoreEntry::Evacuated(domain(1), true)), &mut Vec::new());
+    dispatcher.apply_delta(ms(5), &news(12, StoreEntry::Evacuated(domain(1), true)), &mut Vec::new());
     for port in 100..200 {
         assert!(!sent_to(&act(&mut dispatcher, ms(6), &syn(port))).contains(&target_id(1)));
     }
@@ -171,8 +171,8 @@
 #[test]
 fn a_failure_domain_that_comes_back_counts_as_cold() {
     let mut dispatcher = ready(2);
-    dispatcher.learn(ms(5), &news(12, StoreEntry::Evacuated(domain(1), true)), &mut Vec::new());
-    dispatcher.learn(ms(9_000), &news(13, StoreEntry::Evacuated(domain(1), false)), &mut Vec::new());
+    dispatcher.apply_delta(ms(5), &news(12, StoreEntry::Evacuated(domain(1), true)), &mut Vec::new());
+    dispatcher.apply_delta(ms(9_000), &news(13, StoreEntry::Evacuated(domain(1), false)), &mut Vec::new());
     for port in 0..200 {
         let now = ms(9_001 + u64::from(port) * 9);
         assert!(!sent_to(&act(&mut dispatcher, now, &syn(port))).contains(&target_id(1)));
@@ -185,7 +185,7 @@
     let mut dispatcher = ready(1);
     act(&mut dispatcher, ms(1), &syn(1));
     let without = Routing { version: 2, routes: Vec::new(), ..routing() };
-    dispatcher.learn(ms(5), &news(12, StoreEntry::Routing(without)), &mut Vec::new());
+    dispatcher.apply_delta(ms(5), &news(12, StoreEntry::Routing(without)), &mut Vec::new());
     let data = Segment { payload: 10, cookie: cookie(target_id(0)), ..segment(1, SegmentKind::Carry) };
     assert!(matches!(act(&mut dispatcher, ms(6), &data)[..], [Effect::Reset(_)]));
     assert!(matches!(act(&mut dispatcher, ms(6), &syn(2))[..], [Effect::Reset(_)]));
@@ -200,7 +200,7 @@
     assert_eq!(act(&mut dispatcher, ms(1), &data), Vec::new());
     assert_eq!(act(&mut dispatcher, ms(1), &syn(2)), Vec::new());
     let mut effects = Vec::new();
-    dispatcher.learn(ms(30), &whole(1), &mut effects);
+    dispatcher.apply_delta(ms(30), &whole(1), &mut effects);
     assert_eq!(sent_to(&effects), [target_id(0)]);
     let kept = matches!(&effects[0], Effect::Forward { packet: Packet::Kept(kept), .. } if &kept[..] == b"packet");
     assert!(kept, "{effects:?}");
@@ -370,7 +370,11 @@
     }
     let restarted = StoreEntry::Target(target_id(0), Some(target_facts(0, Duration::from_secs(2))));
     let facts = vec![VersionedEntry { revision: 30, entry: restarted }];
-    dispatcher.learn(ms(100), &Delta { since: 11, revision: 30, is_snapshot: false, entries: facts }, &mut effects);
+    dispatcher.apply_delta(
+        ms(100),
+        &Delta { since: 11, revision: 30, is_snapshot: false, entries: facts },
+        &mut effects,
+    );
     effects.clear();
     for port in 1..10 {
         dispatcher.packet(ms(210), &segment(port, SegmentKind::Open { copies: 1 }), b"syn", &mut effects);
@@ -386,7 +390,7 @@
     let mut dispatcher = dispatcher();
     let mut picture = whole(1);
     picture.entries[0].entry = StoreEntry::Target(target_id(0), Some(target_facts(0, Duration::from_mins(1))));
-    dispatcher.learn(Timestamp::ZERO, &picture, &mut Vec::new());
+    dispatcher.apply_delta(Timestamp::ZERO, &picture, &mut Vec::new());
     let spent = LoadReport { started: vec![open_request(9, cookie(target_id(0)))], ..LoadReport::default() };
     dispatcher.receive(ms(1_000), &spent, &mut Vec::new());
     assert_eq!(sent_to(&act(&mut dispatcher, ms(1_500), &syn(1))), Vec::<u64>::new());
--- a/crates/direct/src/process/news.rs
+++ b/crates/direct/src/process/news.rs
@@ -137,7 +137,7 @@
     }
 
     pub(super) fn learn(&mut self, now: Timestamp, delta: &Delta, from: &'static str) {
-        let changed = self.dispatcher.learn(now, delta, &mut self.effects);
+        let changed = self.dispatcher.apply_delta(now, delta, &mut self.effects);
         self.carry_out();
         if changed {
             self.learned(delta, from, Duration::ZERO);
