--- a/crates/core/src/direct/dispatcher/mod.rs
+++ b/crates/core/src/direct/dispatcher/mod.rs
@@ -398,7 +398,7 @@
     }
 
     /// Takes over what a peer has handed over; tells whether the store's part brought anything new.
-    pub fn adopt(&mut self, now: Timestamp, handover: &Handover, effects: &mut Vec<Effect>) -> bool {
+    pub fn apply_handover(&mut self, now: Timestamp, handover: &Handover, effects: &mut Vec<Effect>) -> bool {
         for (flow, target, age) in &handover.open_requests {
             if !self.open_requests.is_open(*flow) {
                 self.open_requests.receive(now, *flow, *target, *age);
--- a/crates/core/tests/direct/fleet.rs
+++ b/crates/core/tests/direct/fleet.rs
@@ -615,7 +615,7 @@
                 self.fleet_effects(index, effects.unwrap_or_default());
             }
             Event::Pulled(index, life, handover) if self.is_life(index, life) => {
-                self.with(index, |instance, now, effects| instance.dispatcher.adopt(now, &handover, effects));
+                self.with(index, |instance, now, effects| instance.dispatcher.apply_handover(now, &handover, effects));
             }
             Event::Checked(index, life, target, outcome) if self.is_life(index, life) => {
                 self.with(index, |instance, now, effects| instance.dispatcher.checked(now, target, outcome, effects));
--- a/crates/direct/src/process/news.rs
+++ b/crates/direct/src/process/news.rs
@@ -109,7 +109,7 @@
         self.confirm_news(now);
         let effects = self.fleet.adopt(now, &handover.members);
         self.carry_out_fleet(effects);
-        let changed = self.dispatcher.adopt(now, handover, &mut self.effects);
+        let changed = self.dispatcher.apply_handover(now, handover, &mut self.effects);
         self.carry_out();
         if changed {
             self.learned(&handover.delta, "handover", took);
