--- a/crates/core/src/direct/fleet/mod.rs
+++ b/crates/core/src/direct/fleet/mod.rs
@@ -242,7 +242,7 @@
     }
 
     /// Takes over the members that a peer has handed over to this instance when it started.
-    pub fn adopt(&mut self, now: Timestamp, members: &[MemberUpdate]) -> Vec<FleetEffect> {
+    pub fn add_members(&mut self, now: Timestamp, members: &[MemberUpdate]) -> Vec<FleetEffect> {
         self.membership.merge_updates(now, members);
         self.changes(now).into_iter().collect()
     }
--- a/crates/direct/src/process/news.rs
+++ b/crates/direct/src/process/news.rs
@@ -107,7 +107,7 @@
         };
         self.counts.pulls += 1;
         self.confirm_news(now);
-        let effects = self.fleet.adopt(now, &handover.members);
+        let effects = self.fleet.add_members(now, &handover.members);
         self.carry_out_fleet(effects);
         let changed = self.dispatcher.apply_handover(now, handover, &mut self.effects);
         self.carry_out();
