--- a/crates/core/src/direct/dispatcher/reporting.rs
+++ b/crates/core/src/direct/dispatcher/reporting.rs
@@ -16,7 +16,7 @@
 
 impl Dispatcher {
     /// Takes over what a peer reports.
-    pub fn receive(&mut self, now: Timestamp, report: &LoadReport, effects: &mut Vec<Effect>) {
+    pub fn apply_load_report(&mut self, now: Timestamp, report: &LoadReport, effects: &mut Vec<Effect>) {
         for open in &report.started {
             self.receive_open(now, *open);
         }
--- a/crates/core/tests/direct/fleet.rs
+++ b/crates/core/tests/direct/fleet.rs
@@ -576,7 +576,9 @@
             match effect {
                 FleetEffect::Send(to, frame) => self.send(index, &to, &frame),
                 FleetEffect::ApplyLoadReport(report) => {
-                    self.with(index, |instance, now, effects| instance.dispatcher.receive(now, &report, effects));
+                    self.with(index, |instance, now, effects| {
+                        instance.dispatcher.apply_load_report(now, &report, effects);
+                    });
                 }
                 FleetEffect::Changed => {
                     self.with(index, |instance, now, _| {
--- a/crates/core/tests/direct/rules.rs
+++ b/crates/core/tests/direct/rules.rs
@@ -350,8 +350,12 @@
             avoid: vec![(target, ms(600))],
             ..LoadReport::default()
         };
-        dispatcher.receive(now, &started, &mut effects);
-        dispatcher.receive(now + ms(50), &LoadReport { abandoned: vec![round], ..LoadReport::default() }, &mut effects);
+        dispatcher.apply_load_report(now, &started, &mut effects);
+        dispatcher.apply_load_report(
+            now + ms(50),
+            &LoadReport { abandoned: vec![round], ..LoadReport::default() },
+            &mut effects,
+        );
         assert_eq!(dispatcher.open_requests().total(), 0);
     }
     let trust = dispatcher.outliers().availability(ms(1_200), target_id(0), ms(40), || false);
@@ -392,7 +396,7 @@
     picture.entries[0].entry = StoreEntry::Target(target_id(0), Some(target_facts(0, Duration::from_mins(1))));
     dispatcher.apply_delta(Timestamp::ZERO, &picture, &mut Vec::new());
     let spent = LoadReport { started: vec![open_request(9, cookie(target_id(0)))], ..LoadReport::default() };
-    dispatcher.receive(ms(1_000), &spent, &mut Vec::new());
+    dispatcher.apply_load_report(ms(1_000), &spent, &mut Vec::new());
     assert_eq!(sent_to(&act(&mut dispatcher, ms(1_500), &syn(1))), Vec::<u64>::new());
     assert_eq!(sent_to(&act(&mut dispatcher, ms(2_100), &syn(2))), [target_id(0)]);
     assert_eq!(sent_to(&act(&mut dispatcher, ms(2_900), &syn(3))), Vec::<u64>::new());
--- a/crates/direct/src/process.rs
+++ b/crates/direct/src/process.rs
@@ -282,7 +282,7 @@
                 FleetEffect::UpToDate => self.confirm_news(now),
                 FleetEffect::ApplyDelta(delta) => self.learn(now, &delta, "peer"),
                 FleetEffect::ApplyLoadReport(report) => {
-                    self.dispatcher.receive(now, &report, &mut self.effects);
+                    self.dispatcher.apply_load_report(now, &report, &mut self.effects);
                     self.carry_out();
                 }
                 FleetEffect::Changed => self.fleet_changed(),
