--- a/crates/core/src/direct/dispatcher/mod.rs
+++ b/crates/core/src/direct/dispatcher/mod.rs
@@ -401,7 +401,7 @@
     pub fn apply_handover(&mut self, now: Timestamp, handover: &Handover, effects: &mut Vec<Effect>) -> bool {
         for (flow, target, age) in &handover.open_requests {
             if !self.open_requests.is_open(*flow) {
-                self.open_requests.receive(now, *flow, *target, *age);
+                self.open_requests.record_reported(now, *flow, *target, *age);
             }
         }
         for (target, avoidance) in &handover.avoid {
--- a/crates/core/src/direct/dispatcher/reporting.rs
+++ b/crates/core/src/direct/dispatcher/reporting.rs
@@ -78,7 +78,7 @@
         self.flows.moved(open.flow);
         self.waiting.remove(open.flow);
         let Some(target) = self.directory.by_cookie(open.target) else { return };
-        self.open_requests.receive(now, open.flow, target.id, Duration::from_millis(u64::from(open.age_ms)));
+        self.open_requests.record_reported(now, open.flow, target.id, Duration::from_millis(u64::from(open.age_ms)));
         if target.is_cold(now) || self.outliers.is_returning(now, target.id) {
             self.cold.taken_by_peer(now, target.id);
         }
@@ -86,7 +86,7 @@
 
     fn receive_answered(&mut self, now: Timestamp, answered: AnsweredRequest) {
         self.flows.answered_elsewhere(answered.flow);
-        if let Some(ended) = self.open_requests.receive_end(now, answered.flow, answered.unreported) {
+        if let Some(ended) = self.open_requests.record_reported_end(now, answered.flow, answered.unreported) {
             self.outliers.record_liveness(now, ended.target);
             self.count_answers(ended.target, answered.unreported.saturating_add(1));
         }
--- a/crates/core/src/direct/open_requests.rs
+++ b/crates/core/src/direct/open_requests.rs
@@ -174,7 +174,7 @@
     }
 
     /// Notes that another instance has reported an open request of some age.
-    pub fn receive(&mut self, now: Timestamp, flow: FlowHash, target: TargetId, age: Duration) {
+    pub fn record_reported(&mut self, now: Timestamp, flow: FlowHash, target: TargetId, age: Duration) {
         self.open_since(now, now.saturating_sub(age), flow, target, false);
         self.mark_reported(flow);
     }
@@ -250,7 +250,7 @@
     ///
     /// Only notable requests are reported, which are the slow ones. So they say nothing of what is usual, and those that
     /// were not reported count as usual ones of their target.
-    pub fn receive_end(&mut self, now: Timestamp, flow: FlowHash, unreported: u16) -> Option<Ended> {
+    pub fn record_reported_end(&mut self, now: Timestamp, flow: FlowHash, unreported: u16) -> Option<Ended> {
         let open = self.cancel(flow)?;
         let took = now.saturating_sub(open.since);
         let usual = self.usual;
