--- a/crates/core/src/direct/dispatcher/mod.rs
+++ b/crates/core/src/direct/dispatcher/mod.rs
@@ -405,7 +405,7 @@
             }
         }
         for (target, avoidance) in &handover.avoid {
-            self.outliers.receive(now, *target, *avoidance);
+            self.outliers.apply_suspicion(now, *target, *avoidance);
         }
         self.apply_delta(now, &handover.delta, effects)
     }
--- a/crates/core/src/direct/dispatcher/reporting.rs
+++ b/crates/core/src/direct/dispatcher/reporting.rs
@@ -101,7 +101,7 @@
     /// Takes over a peer's suspicion, and says so if the target has answered here of late.
     fn receive_suspicion(&mut self, now: Timestamp, target: TargetId, avoidance: Duration) {
         if self.has(Mechanism::OutlierDetection) {
-            self.outliers.receive(now, target, avoidance);
+            self.outliers.apply_suspicion(now, target, avoidance);
         }
         self.checks.suspect(now, target);
         if self.outliers.refutes(now, target) {
--- a/crates/core/src/direct/domain_reach.rs
+++ b/crates/core/src/direct/domain_reach.rs
@@ -80,7 +80,7 @@
     /// Takes over a peer's suspicion of a domain unless it has just answered here.
     pub fn receive(&mut self, now: Timestamp, domain: &str, avoidance: Duration) {
         let domain = key(domain);
-        self.domains.receive(now, domain, avoidance);
+        self.domains.apply_suspicion(now, domain, avoidance);
         if self.domains.is_suspected(domain) {
             self.suspected_since.entry(domain).or_insert(now);
         }
--- a/crates/core/src/direct/outlier.rs
+++ b/crates/core/src/direct/outlier.rs
@@ -195,7 +195,7 @@
     }
 
     /// Takes over a peer's suspicion unless this instance has just seen the target answer.
-    pub fn receive(&mut self, now: Timestamp, target: TargetId, avoidance: Duration) {
+    pub fn apply_suspicion(&mut self, now: Timestamp, target: TargetId, avoidance: Duration) {
         let record = self.records.entry(target).or_default();
         record.watched_until = now + WATCHED;
         if record.last_answer.is_none_or(|at| now.saturating_sub(at) > OWN_EVIDENCE) {
