--- a/crates/core/src/direct/dispatcher/mod.rs
+++ b/crates/core/src/direct/dispatcher/mod.rs
@@ -343,7 +343,7 @@
     }
 
     /// Notes that a peer or the store has confirmed what is known here.
-    pub fn confirm_news(&mut self, now: Timestamp, effects: &mut Vec<Effect>) {
+    pub fn confirm_up_to_date(&mut self, now: Timestamp, effects: &mut Vec<Effect>) {
         if now < self.unsure_until {
             self.unsure_until = now;
             self.admit_early(now, effects);
--- a/crates/direct/src/process/news.rs
+++ b/crates/direct/src/process/news.rs
@@ -27,7 +27,7 @@
 
 impl Process {
     pub(super) fn confirm_news(&mut self, now: Timestamp) {
-        self.dispatcher.confirm_news(now, &mut self.effects);
+        self.dispatcher.confirm_up_to_date(now, &mut self.effects);
         self.carry_out();
     }
 
