--- a/crates/core/src/direct/dispatcher/mod.rs
+++ b/crates/core/src/direct/dispatcher/mod.rs
@@ -337,7 +337,7 @@
     }
 
     /// Notes that this process was paused: it may have missed that targets left, died or turned cold.
-    pub fn paused(&mut self, now: Timestamp) {
+    pub fn process_paused(&mut self, now: Timestamp) {
         self.unsure_until = now + UNSURE;
         self.unseen_until = Some(now + UNSEEN);
     }
--- a/crates/core/src/direct/fleet/store_news.rs
+++ b/crates/core/src/direct/fleet/store_news.rs
@@ -55,7 +55,7 @@
     }
 
     /// Notes that the process was paused.
-    pub fn paused(&mut self, now: Timestamp) {
+    pub fn process_paused(&mut self, now: Timestamp) {
         self.no_relay_until = now + NO_RELAY;
     }
 
--- a/crates/core/tests/direct/rules.rs
+++ b/crates/core/tests/direct/rules.rs
@@ -313,12 +313,12 @@
 #[test]
 fn after_a_standstill_new_flows_wait_for_word() {
     let mut dispatcher = ready(1);
-    dispatcher.paused(ms(5_000));
+    dispatcher.process_paused(ms(5_000));
     assert_eq!(act(&mut dispatcher, ms(5_001), &syn(1)), Vec::new());
     let mut effects = Vec::new();
     dispatcher.confirm_up_to_date(ms(5_090), &mut effects);
     assert_eq!(sent_to(&effects), [target_id(0)]);
-    dispatcher.paused(ms(9_000));
+    dispatcher.process_paused(ms(9_000));
     assert_eq!(act(&mut dispatcher, ms(9_300), &syn(2)), Vec::new());
     let mut effects = Vec::new();
     dispatcher.tick(ms(9_410), &mut effects);
--- a/crates/direct/src/process.rs
+++ b/crates/direct/src/process.rs
@@ -305,8 +305,8 @@
         let gap = self.pause.turn(now, time_of_day());
         if let Some(gap) = gap.filter(|_| self.config.mechanisms.has(Mechanism::PauseDetection)) {
             warn!(self.log, "process paused"; "for_ms" => millis(gap));
-            self.dispatcher.paused(now);
-            self.fleet.paused(now);
+            self.dispatcher.process_paused(now);
+            self.fleet.process_paused(now);
             self.callers.drop_waiting();
             self.read_peers();
         }
