--- a/crates/core/src/direct/dispatcher/mod.rs
+++ b/crates/core/src/direct/dispatcher/mod.rs
@@ -86,7 +86,7 @@
         /// The cookie to write into it, if another than it carries.
         cookie: Option<Cookie>,
     },
-    /// Ask a target for a connection, and hand the outcome to [`Dispatcher::checked`].
+    /// Ask a target for a connection, and hand the outcome to [`Dispatcher::check_finished`].
     Check {
         /// Whom.
         target: TargetId,
--- a/crates/core/src/direct/dispatcher/resetting.rs
+++ b/crates/core/src/direct/dispatcher/resetting.rs
@@ -30,10 +30,16 @@
 
 impl Dispatcher {
     /// Takes in the outcome of a check of a target.
-    pub fn checked(&mut self, now: Timestamp, target: TargetId, outcome: CheckOutcome, effects: &mut Vec<Effect>) {
+    pub fn check_finished(
+        &mut self,
+        now: Timestamp,
+        target: TargetId,
+        outcome: CheckOutcome,
+        effects: &mut Vec<Effect>,
+    ) {
         let alone = self.group.len() <= 1;
         let asked = self.checks.is_asked(target);
-        let finding = self.checks.checked(now, target, outcome, alone);
+        let finding = self.checks.check_finished(now, target, outcome, alone);
         let answer = match finding {
             Finding::Alive if asked => Some(&mut self.report.alive),
             Finding::Failed | Finding::OutOfReach | Finding::StillOutOfReach if asked => {
--- a/crates/core/src/direct/reachability.rs
+++ b/crates/core/src/direct/reachability.rs
@@ -255,7 +255,7 @@
     }
 
     /// Takes in the outcome of a check, by an instance that knows others or is alone.
-    pub fn checked(&mut self, now: Timestamp, target: TargetId, outcome: CheckOutcome, alone: bool) -> Finding {
+    pub fn check_finished(&mut self, now: Timestamp, target: TargetId, outcome: CheckOutcome, alone: bool) -> Finding {
         let Some(record) = self.records.get_mut(&target) else { return Finding::Inconclusive };
         let Some(began) = record.check_since.take() else { return Finding::Inconclusive };
         record.asked = false;
--- a/crates/core/tests/direct/fleet.rs
+++ b/crates/core/tests/direct/fleet.rs
@@ -620,7 +620,9 @@
                 self.with(index, |instance, now, effects| instance.dispatcher.apply_handover(now, &handover, effects));
             }
             Event::Checked(index, life, target, outcome) if self.is_life(index, life) => {
-                self.with(index, |instance, now, effects| instance.dispatcher.checked(now, target, outcome, effects));
+                self.with(index, |instance, now, effects| {
+                    instance.dispatcher.check_finished(now, target, outcome, effects);
+                });
             }
             Event::Data(request, attempt) => self.data(request, attempt),
             Event::Deadline(request) => self.deadline(request),
--- a/crates/core/tests/direct/reachability.rs
+++ b/crates/core/tests/direct/reachability.rs
@@ -35,7 +35,7 @@
 }
 
 fn fail(checks: &mut ReachabilityChecks, began: Duration, alone: bool) -> Finding {
-    checks.checked(began + CHECK_LIMIT, SILENT, CheckOutcome::TimedOut, alone)
+    checks.check_finished(began + CHECK_LIMIT, SILENT, CheckOutcome::TimedOut, alone)
 }
 
 /// Two checks begin at once, and neither target accepts. It is this instance that reaches nobody; if it judged all the same,
@@ -43,7 +43,7 @@
 #[test]
 fn a_failure_counts_only_beside_a_success() {
     let mut checks = under_check();
-    checks.checked(NOW + CHECK_LIMIT, LIVELY, CheckOutcome::TimedOut, true);
+    checks.check_finished(NOW + CHECK_LIMIT, LIVELY, CheckOutcome::TimedOut, true);
     assert_eq!(fail(&mut checks, NOW, true), Finding::Inconclusive);
     assert_eq!(checks.reachability(SILENT), Reachability::Reachable);
 }
@@ -53,7 +53,7 @@
 #[test]
 fn another_instance_has_to_fail_as_well() {
     let mut checks = under_check();
-    checks.checked(NOW + ms(2), LIVELY, CheckOutcome::Accepted, false);
+    checks.check_finished(NOW + ms(2), LIVELY, CheckOutcome::Accepted, false);
     assert_eq!(fail(&mut checks, NOW, false), Finding::Failed);
     assert_eq!(checks.reachability(SILENT), Reachability::Reachable);
     assert!(checks.confirmed(NOW + ms(90), SILENT));
@@ -67,11 +67,11 @@
 #[test]
 fn an_instance_that_is_alone_needs_two_failures() {
     let mut checks = under_check();
-    checks.checked(NOW + ms(2), LIVELY, CheckOutcome::Accepted, true);
+    checks.check_finished(NOW + ms(2), LIVELY, CheckOutcome::Accepted, true);
     assert_eq!(fail(&mut checks, NOW, true), Finding::Failed);
     let again = NOW + CHECK_LIMIT;
     assert!(checks.take_due(again, usual).contains(&SILENT));
-    checks.checked(again + ms(2), LIVELY, CheckOutcome::Accepted, true);
+    checks.check_finished(again + ms(2), LIVELY, CheckOutcome::Accepted, true);
     assert_eq!(fail(&mut checks, again, true), Finding::OutOfReach);
 }
 
@@ -80,9 +80,9 @@
 #[test]
 fn a_check_across_a_pause_says_nothing() {
     let mut checks = under_check();
-    checks.checked(NOW + ms(2), LIVELY, CheckOutcome::Accepted, true);
+    checks.check_finished(NOW + ms(2), LIVELY, CheckOutcome::Accepted, true);
     let late = NOW + ms(500);
-    assert_eq!(checks.checked(late, SILENT, CheckOutcome::TimedOut, true), Finding::Inconclusive);
+    assert_eq!(checks.check_finished(late, SILENT, CheckOutcome::TimedOut, true), Finding::Inconclusive);
 }
 
 /// An instance failed to reach a target ten seconds ago, in a cut that is over, and has sent it nothing since. Another one
@@ -90,7 +90,7 @@
 #[test]
 fn a_failure_of_long_ago_does_not_count() {
     let mut checks = under_check();
-    checks.checked(NOW + ms(2), LIVELY, CheckOutcome::Accepted, false);
+    checks.check_finished(NOW + ms(2), LIVELY, CheckOutcome::Accepted, false);
     assert_eq!(fail(&mut checks, NOW, false), Finding::Failed);
     assert!(!checks.confirmed(NOW + Duration::from_secs(10), SILENT));
     assert_eq!(checks.reachability(SILENT), Reachability::Reachable);
--- a/crates/direct/src/process.rs
+++ b/crates/direct/src/process.rs
@@ -336,7 +336,7 @@
             Command::StoreSaid { delta, refused } => self.store_said(now, &delta, refused),
             Command::StoreFailed { reason } => self.store_failed(&reason),
             Command::Checked { target, outcome } => {
-                self.dispatcher.checked(now, target, outcome, &mut self.effects);
+                self.dispatcher.check_finished(now, target, outcome, &mut self.effects);
                 self.carry_out();
             }
             Command::Pulled { outcome, took } => self.pulled(now, &outcome, took),
