--- a/crates/core/src/direct/dispatcher/mod.rs
+++ b/crates/core/src/direct/dispatcher/mod.rs
@@ -296,7 +296,7 @@
     ///
     /// An instance that has just become known has heard nothing of what is under way here, so all that was reported is told
     /// again.
-    pub fn set_fleet(
+    pub fn set_members(
         &mut self,
         now: Timestamp,
         instances: Vec<InstanceId>,
--- a/crates/core/tests/direct/fleet.rs
+++ b/crates/core/tests/direct/fleet.rs
@@ -585,7 +585,7 @@
                         instance.group = instance.fleet.group();
                         let whole = instance.fleet.is_one_group();
                         let (serving, group) = (instance.fleet.serving(), instance.fleet.group_ids());
-                        instance.dispatcher.set_fleet(now, serving, group, whole);
+                        instance.dispatcher.set_members(now, serving, group, whole);
                     });
                 }
                 FleetEffect::ApplyDelta(delta) => {
--- a/crates/direct/src/process.rs
+++ b/crates/direct/src/process.rs
@@ -326,7 +326,7 @@
     fn fleet_changed(&mut self) {
         let serving = self.fleet.serving();
         self.changes.note(&serving);
-        self.dispatcher.set_fleet(self.now(), serving, self.fleet.group_ids(), self.fleet.is_one_group());
+        self.dispatcher.set_members(self.now(), serving, self.fleet.group_ids(), self.fleet.is_one_group());
         self.group = self.fleet.group();
     }
 
