--- a/crates/core/src/direct/dispatcher/mod.rs
+++ b/crates/core/src/direct/dispatcher/mod.rs
@@ -283,7 +283,7 @@
     }
 
     /// Takes the targets that have turned out to be out of reach, or to be reached again, since the last call.
-    pub fn take_reach_changes(&mut self) -> Vec<ReachabilityChange> {
+    pub fn take_reachability_changes(&mut self) -> Vec<ReachabilityChange> {
         self.checks.take_changes()
     }
 
--- a/crates/direct/src/process.rs
+++ b/crates/direct/src/process.rs
@@ -419,7 +419,7 @@
         let directory = self.dispatcher.directory();
         let age = self.fleet.watcher_role().age(now);
         let knowledge = Knowledge { revision: directory.revision(), version: directory.version(), age };
-        for change in self.dispatcher.take_reach_changes() {
+        for change in self.dispatcher.take_reachability_changes() {
             let reachability: &str = change.reachability.into();
             info!(self.log, "target reachability"; "target" => format!("{:x}", change.target),
                 "is" => reachability, "failed_checks" => change.failed, "revision" => knowledge.revision);
