--- a/crates/core/src/direct/dispatcher/following.rs
+++ b/crates/core/src/direct/dispatcher/following.rs
@@ -69,10 +69,10 @@
     /// without word.
     fn take_over(&mut self, now: Timestamp, segment: &Segment, target: TargetId, effects: &mut Vec<Effect>) {
         let (id, short) = (segment.flow, segment.flow.short());
-        let asks = segment.payload > 0 && segment.kind == SegmentKind::Carry;
+        let asks = segment.payload > 0 && segment.kind == SegmentKind::Ack;
         let stage = match segment.kind {
             _ if asks => Stage::Working { base: segment.acknowledged },
-            SegmentKind::Carry => Stage::Answered(None),
+            SegmentKind::Ack => Stage::Answered(None),
             _ => Stage::Closed,
         };
         let objective = self.directory.route(id.service).map_or(Duration::MAX, |route| route.latency_objective);
@@ -124,7 +124,7 @@
             }
             Stage::Answered(begun) => {
                 let begun = *begun;
-                if segment.kind == SegmentKind::Close {
+                if segment.kind == SegmentKind::Fin {
                     self.judge_answer(now, segment, target, begun);
                 }
                 segment.acknowledged
@@ -135,11 +135,11 @@
         let risen = segment.acknowledged.wrapping_sub(base).cast_signed() > 0;
         if risen {
             self.answer(now, segment.flow, base);
-            if segment.kind == SegmentKind::Close {
+            if segment.kind == SegmentKind::Fin {
                 self.judge_begun(now, segment, target);
             }
         }
-        if segment.kind != SegmentKind::Carry {
+        if segment.kind != SegmentKind::Ack {
             self.close(now, segment.flow);
         }
     }
--- a/crates/core/src/direct/dispatcher/mod.rs
+++ b/crates/core/src/direct/dispatcher/mod.rs
@@ -424,7 +424,7 @@
         packet: &[u8],
         effects: &mut Vec<Effect>,
     ) {
-        let opens = matches!(segment.kind, SegmentKind::Open { .. });
+        let opens = matches!(segment.kind, SegmentKind::Syn { .. });
         if !self.directory.is_synced() || (opens && !self.may_place(now)) {
             self.not_ready(now, segment, packet);
             return;
@@ -434,18 +434,18 @@
             return;
         };
         match segment.kind {
-            SegmentKind::Open { copies } => {
+            SegmentKind::Syn { copies } => {
                 let route = route.clone();
                 self.open(now, &Syn { segment, copies, packet, since }, &route, effects);
             }
-            SegmentKind::Carry | SegmentKind::Close | SegmentKind::Abort => self.carry(now, segment, effects),
+            SegmentKind::Ack | SegmentKind::Fin | SegmentKind::Rst => self.carry(now, segment, effects),
         }
     }
 
     /// Keeps a SYN until the directory is whole; anything else has no target that could be told.
     fn not_ready(&mut self, now: Timestamp, segment: &Segment, packet: &[u8]) {
         let known = self.early.iter().any(|(_, early, _)| early.flow == segment.flow);
-        let kept = matches!(segment.kind, SegmentKind::Open { .. }) && self.has(Mechanism::EarlySyns);
+        let kept = matches!(segment.kind, SegmentKind::Syn { .. }) && self.has(Mechanism::EarlySyns);
         if kept && !known && self.early.len() < MAX_EARLY {
             self.early.push((now, *segment, packet.into()));
         } else {
@@ -456,7 +456,7 @@
     fn no_route(&mut self, segment: &Segment, effects: &mut Vec<Effect>) {
         self.flows.remove(&segment.flow);
         self.end_work(segment.flow);
-        if segment.kind != SegmentKind::Abort {
+        if segment.kind != SegmentKind::Rst {
             effects.push(Effect::Reset(*segment));
             self.decide(Decision::new(segment.flow, Outcome::ResetNoRoute));
         }
--- a/crates/core/src/direct/dispatcher/opening.rs
+++ b/crates/core/src/direct/dispatcher/opening.rs
@@ -223,7 +223,7 @@
         effects: &mut Vec<Effect>,
     ) {
         let PendingFlow { segment, packet, since, tried, .. } = waiting;
-        let copies = if let SegmentKind::Open { copies } = segment.kind { copies } else { 0 };
+        let copies = if let SegmentKind::Syn { copies } = segment.kind { copies } else { 0 };
         let objective = self.directory.route(segment.flow.service).map_or(Duration::MAX, |r| r.latency_objective);
         let took = now.saturating_sub(since);
         let decision = Decision { copies, took, tried: tried.len(), ..Decision::new(segment.flow, outcome) };
@@ -285,7 +285,7 @@
         tried.push(target);
         let segment = Segment {
             flow: id,
-            kind: SegmentKind::Open { copies: 0 },
+            kind: SegmentKind::Syn { copies: 0 },
             sequence: flow.sequence,
             acknowledged: 0,
             payload: 0,
--- a/crates/core/src/direct/dispatcher/resetting.rs
+++ b/crates/core/src/direct/dispatcher/resetting.rs
@@ -140,7 +140,7 @@
         target: TargetId,
         effects: &mut Vec<Effect>,
     ) -> bool {
-        let asks = segment.payload > 0 && segment.kind == SegmentKind::Carry;
+        let asks = segment.payload > 0 && segment.kind == SegmentKind::Ack;
         if !asks || !self.may_reset(segment.flow, target) {
             return false;
         }
@@ -156,7 +156,7 @@
             flows.filter_map(|flow| waits(&flow.stage).map(|base| (flow.id, flow.sequence, base))).collect();
         for (flow, sequence, acknowledged) in open {
             if self.may_reset(flow, target) {
-                let kind = SegmentKind::Carry;
+                let kind = SegmentKind::Ack;
                 let segment = Segment { flow, kind, sequence, acknowledged, payload: 0, cookie: cookie(target) };
                 self.reset_open(now, segment, target, effects);
             }
--- a/crates/core/src/direct/segment.rs
+++ b/crates/core/src/direct/segment.rs
@@ -51,16 +51,16 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum SegmentKind {
     /// A SYN, with the number of copies sent before it.
-    Open {
+    Syn {
         /// Zero for the first; callers repeat a SYN that is not answered.
         copies: u32,
     },
     /// Data or an acknowledgement.
-    Carry,
+    Ack,
     /// The caller's last bytes.
-    Close,
+    Fin,
     /// The caller gives the flow up.
-    Abort,
+    Rst,
 }
 
 /// A packet's head.
--- a/crates/core/tests/direct/fleet.rs
+++ b/crates/core/tests/direct/fleet.rs
@@ -739,7 +739,7 @@
         let Some((_, cookie)) = self.requests[request].opened else { return };
         if self.is_open(request, attempt) {
             let received = self.requests[request].received;
-            self.pass_to_instance(request, SegmentKind::Carry, received, 500, cookie);
+            self.pass_to_instance(request, SegmentKind::Ack, received, 500, cookie);
         }
     }
 
@@ -747,7 +747,7 @@
         let state = &self.requests[request];
         if let (None, Some((_, cookie))) = (state.answered, state.opened) {
             let received = state.received;
-            self.pass_to_instance(request, SegmentKind::Abort, received, 0, cookie);
+            self.pass_to_instance(request, SegmentKind::Rst, received, 0, cookie);
         }
     }
 
@@ -759,7 +759,7 @@
 
     fn syn(&mut self, request: usize, attempt: u32, copies: u32) {
         if self.is_open(request, attempt) && self.requests[request].opened.is_none() {
-            self.pass_to_instance(request, SegmentKind::Open { copies }, 0, 0, 0);
+            self.pass_to_instance(request, SegmentKind::Syn { copies }, 0, 0, 0);
         }
     }
 
@@ -816,12 +816,12 @@
         let now = self.now;
         let Some(target) = self.targets.get_mut(&id).filter(|target| target.alive) else { return };
         match segment.kind {
-            SegmentKind::Open { .. } => {
+            SegmentKind::Syn { .. } => {
                 target.opened.push(now);
                 target.flows.entry(segment.flow).or_insert(None);
                 self.after(TO_CALLER, Event::Opened(request, segment.flow, id));
             }
-            SegmentKind::Carry if segment.payload > 0 => {
+            SegmentKind::Ack if segment.payload > 0 => {
                 if target.fails > 0.0 && self.rng.random_bool(target.fails) {
                     self.after(TO_CALLER, Event::Failed(request, segment.flow));
                     return;
@@ -837,7 +837,7 @@
                     self.after(TO_CALLER + SHED_AFTER, Event::Shed(request, segment.flow));
                 }
             }
-            SegmentKind::Carry | SegmentKind::Close | SegmentKind::Abort => {}
+            SegmentKind::Ack | SegmentKind::Fin | SegmentKind::Rst => {}
         }
     }
 
@@ -892,11 +892,11 @@
         let opened = state.opened.unwrap();
         let received = state.received + ANSWER_BYTES;
         let user = state.user;
-        self.pass_to_instance(request, SegmentKind::Carry, received, 0, opened.1);
+        self.pass_to_instance(request, SegmentKind::Ack, received, 0, opened.1);
         if let Some(user) = user {
             self.users[user] = Some(KeptFlow { flow, opened, received });
         } else {
-            self.pass_to_instance(request, SegmentKind::Close, received, 0, opened.1);
+            self.pass_to_instance(request, SegmentKind::Fin, received, 0, opened.1);
         }
     }
 
@@ -907,8 +907,8 @@
         // No further attempt is made, and no answer counts any more.
         state.failed = true;
         state.tries = RETRIES + 1;
-        self.pass_to_instance(request, SegmentKind::Carry, 250, 0, cookie);
-        self.pass_to_instance(request, SegmentKind::Close, 250, 0, cookie);
+        self.pass_to_instance(request, SegmentKind::Ack, 250, 0, cookie);
+        self.pass_to_instance(request, SegmentKind::Fin, 250, 0, cookie);
     }
 
     /// The caller learns that a full target has not run its request, and asks again.
@@ -917,8 +917,8 @@
         let Some((_, cookie)) = state.opened.filter(|_| state.flow == flow) else { return };
         state.shed += 1;
         let attempt = state.attempt;
-        self.pass_to_instance(request, SegmentKind::Carry, 250, 0, cookie);
-        self.pass_to_instance(request, SegmentKind::Close, 250, 0, cookie);
+        self.pass_to_instance(request, SegmentKind::Ack, 250, 0, cookie);
+        self.pass_to_instance(request, SegmentKind::Fin, 250, 0, cookie);
         if self.is_open(request, attempt) {
             self.retry(request);
         }
