--- a/crates/core/src/direct/dispatcher/following.rs
+++ b/crates/core/src/direct/dispatcher/following.rs
@@ -45,7 +45,7 @@
         let opening = self.flows.get(&segment.flow).is_some_and(|flow| matches!(flow.stage, Stage::Opening(_)));
         let target = if opening { answered_by.or(known) } else { known.or(answered_by) };
         let Some(target) = target else {
-            self.waiting.remove(segment.flow.short());
+            self.waiting.remove(segment.flow.flow_hash());
             self.decide(Decision::new(segment.flow, Outcome::DroppedUnknownCookie));
             return;
         };
@@ -68,7 +68,7 @@
     /// the instance with the record must hear of it, or the target would look busy for as long as work is believed
     /// without word.
     fn take_over(&mut self, now: Timestamp, segment: &Segment, target: TargetId, effects: &mut Vec<Effect>) {
-        let (id, short) = (segment.flow, segment.flow.short());
+        let (id, short) = (segment.flow, segment.flow.flow_hash());
         let asks = segment.payload > 0 && segment.kind == SegmentKind::Ack;
         let stage = match segment.kind {
             _ if asks => Stage::Working { base: segment.acknowledged },
@@ -116,7 +116,7 @@
                 flow.stage = Stage::Working { base: segment.acknowledged };
                 flow.first_seen = now;
                 self.judge_answer(now, segment, target, begun);
-                let short = segment.flow.short();
+                let short = segment.flow.flow_hash();
                 self.expect_answer(now, target, effects);
                 self.open_requests.start(now, short, target);
                 self.report_if_notable(now, short, target);
@@ -161,8 +161,8 @@
             record(&mut self.handshakes, took);
         }
         if moved {
-            self.open_requests.start(now, flow.short(), target);
-            self.report_open(now, flow.short(), target);
+            self.open_requests.start(now, flow.flow_hash(), target);
+            self.report_open(now, flow.flow_hash(), target);
         }
     }
 
@@ -200,7 +200,7 @@
 
     fn end_answered(&mut self, now: Timestamp, id: FlowId, target: TargetId, took: Duration) {
         self.note_alive(now, target);
-        let Some(ended) = self.open_requests.finish(now, id.short()) else {
+        let Some(ended) = self.open_requests.finish(now, id.flow_hash()) else {
             self.open_requests.learn(now, target, took);
             return;
         };
@@ -209,7 +209,7 @@
         self.learn_load(now, ended.target, ended.took);
         if ended.reported {
             let unreported = self.open_requests.take_unreported(ended.target);
-            self.report.ended.push(AnsweredRequest { flow: id.short(), unreported });
+            self.report.ended.push(AnsweredRequest { flow: id.flow_hash(), unreported });
         }
     }
 
@@ -243,8 +243,8 @@
     }
 
     pub(super) fn end_work(&mut self, id: FlowId) {
-        if self.open_requests.abandon(id.short()) == Some(true) {
-            self.report.abandoned.push(id.short());
+        if self.open_requests.abandon(id.flow_hash()) == Some(true) {
+            self.report.abandoned.push(id.flow_hash());
         }
     }
 
--- a/crates/core/src/direct/dispatcher/mod.rs
+++ b/crates/core/src/direct/dispatcher/mod.rs
@@ -304,7 +304,7 @@
         all_domains_reported: bool,
     ) {
         if instances.iter().any(|id| !self.instances.contains(id)) {
-            let open = self.flows.unanswered().map(|flow| (flow.id.short(), flow.target));
+            let open = self.flows.unanswered().map(|flow| (flow.id.flow_hash(), flow.target));
             let open: Vec<_> = open.filter(|(flow, _)| self.open_requests.is_reported(*flow)).collect();
             for (flow, target) in open {
                 self.report_open(now, flow, target);
--- a/crates/core/src/direct/dispatcher/opening.rs
+++ b/crates/core/src/direct/dispatcher/opening.rs
@@ -228,7 +228,7 @@
         let took = now.saturating_sub(since);
         let decision = Decision { copies, took, tried: tried.len(), ..Decision::new(segment.flow, outcome) };
         self.decide(Decision { target: Some(target), work: self.open_requests.count(target), ..decision });
-        let flow = segment.flow.short();
+        let flow = segment.flow.flow_hash();
         self.open_requests.start(now, flow, target);
         self.report_if_notable(now, flow, target);
         self.outliers.tried(now, target);
--- a/crates/core/src/direct/dispatcher/timers.rs
+++ b/crates/core/src/direct/dispatcher/timers.rs
@@ -74,7 +74,7 @@
             if now.saturating_sub(flow.last_seen) >= overdue.map_or(silence, |limit| limit.max(silence)) {
                 ended.push(flow.id);
             } else {
-                open.push((flow.id.short(), flow.target));
+                open.push((flow.id.flow_hash(), flow.target));
             }
         }
         for (flow, target) in open {
@@ -90,7 +90,7 @@
 
     /// Sets the target of a request aside that should have answered it, if that is the target's fault.
     fn judge_unanswered(&mut self, now: Timestamp, id: FlowId) {
-        let Some(sent) = self.open_requests.opened_at(id.short()) else { return };
+        let Some(sent) = self.open_requests.opened_at(id.flow_hash()) else { return };
         if !self.answer_times.has_later_answer(id.service, sent)
             || self.may_be_queued(id)
             || self.many_are_aside(now, id)
@@ -158,7 +158,7 @@
             return;
         }
         if late >= STALL {
-            self.flows.watch_handshake(id.short(), now + STALL);
+            self.flows.watch_handshake(id.flow_hash(), now + STALL);
             return;
         }
         // Without a handshake there is no work, whoever is to blame: a target that is dead, or a caller that has given
--- a/crates/core/src/direct/flows.rs
+++ b/crates/core/src/direct/flows.rs
@@ -113,17 +113,17 @@
     /// Returns a flow.
     #[must_use]
     pub fn get(&self, id: &FlowId) -> Option<&Flow> {
-        self.flows.get(&id.short()).filter(|flow| flow.id == *id)
+        self.flows.get(&id.flow_hash()).filter(|flow| flow.id == *id)
     }
 
     /// Returns a flow to be changed.
     pub fn get_mut(&mut self, id: &FlowId) -> Option<&mut Flow> {
-        self.flows.get_mut(&id.short()).filter(|flow| flow.id == *id)
+        self.flows.get_mut(&id.flow_hash()).filter(|flow| flow.id == *id)
     }
 
     /// Puts a flow in.
     pub fn insert(&mut self, flow: Flow) {
-        self.flows.insert(flow.id.short(), flow);
+        self.flows.insert(flow.id.flow_hash(), flow);
     }
 
     /// Looks at a flow's handshake at a time.
@@ -134,7 +134,7 @@
     /// Removes a flow.
     pub fn remove(&mut self, id: &FlowId) -> Option<Flow> {
         self.get(id)?;
-        self.flows.remove(&id.short())
+        self.flows.remove(&id.flow_hash())
     }
 
     /// Notes that another instance serves a flow now, since its caller's packets go there.
--- a/crates/core/src/direct/pending.rs
+++ b/crates/core/src/direct/pending.rs
@@ -168,8 +168,8 @@
 
     /// Removes a flow that its caller has given up or that another instance has given to a target.
     pub fn remove(&mut self, flow: FlowHash) {
-        self.in_time.retain(|waiting| waiting.segment.flow.short() != flow);
-        self.late.retain(|waiting| waiting.segment.flow.short() != flow);
+        self.in_time.retain(|waiting| waiting.segment.flow.flow_hash() != flow);
+        self.late.retain(|waiting| waiting.segment.flow.flow_hash() != flow);
     }
 
     /// Takes out the flow at a position, the most urgent first.
--- a/crates/core/src/direct/segment.rs
+++ b/crates/core/src/direct/segment.rs
@@ -42,7 +42,7 @@
 
     /// Returns the flow's short name.
     #[must_use]
-    pub fn short(&self) -> FlowHash {
+    pub fn flow_hash(&self) -> FlowHash {
         u32::try_from(self.hash64() >> 32).unwrap_or(FlowHash::MAX)
     }
 }
