--- a/crates/core/src/direct/dispatcher/following.rs
+++ b/crates/core/src/direct/dispatcher/following.rs
@@ -42,7 +42,7 @@
     pub(super) fn carry(&mut self, now: Timestamp, segment: &Segment, effects: &mut Vec<Effect>) {
         let known = self.flows.get(&segment.flow).map(|flow| flow.target);
         let answered_by = self.directory.by_cookie(segment.cookie).map(|target| target.id);
-        let opening = self.flows.get(&segment.flow).is_some_and(|flow| matches!(flow.stage, Stage::Opening(_)));
+        let opening = self.flows.get(&segment.flow).is_some_and(|flow| matches!(flow.stage, Stage::Handshake(_)));
         let target = if opening { answered_by.or(known) } else { known.or(answered_by) };
         let Some(target) = target else {
             self.waiting.remove(segment.flow.flow_hash());
@@ -71,7 +71,7 @@
         let (id, short) = (segment.flow, segment.flow.flow_hash());
         let asks = segment.payload > 0 && segment.kind == SegmentKind::Ack;
         let stage = match segment.kind {
-            _ if asks => Stage::Working { base: segment.acknowledged },
+            _ if asks => Stage::AwaitingAnswer { base: segment.acknowledged },
             SegmentKind::Ack => Stage::Answered(None),
             _ => Stage::Closed,
         };
@@ -103,17 +103,17 @@
         let Some(flow) = self.flows.get_mut(&segment.flow) else { return };
         flow.last_seen = now;
         let base = match &flow.stage {
-            Stage::Opening(opening) => {
+            Stage::Handshake(opening) => {
                 let (sent, first) = (opening.sent, opening.tried.is_empty());
                 let moved = std::mem::replace(&mut flow.target, target) != target;
-                flow.stage = Stage::Working { base: segment.acknowledged };
+                flow.stage = Stage::AwaitingAnswer { base: segment.acknowledged };
                 self.finish_handshake(now, segment.flow, target, Handshake { sent, first, moved });
                 segment.acknowledged
             }
-            Stage::Working { base } => *base,
+            Stage::AwaitingAnswer { base } => *base,
             Stage::Answered(begun) if segment.payload > 0 => {
                 let begun = *begun;
-                flow.stage = Stage::Working { base: segment.acknowledged };
+                flow.stage = Stage::AwaitingAnswer { base: segment.acknowledged };
                 flow.first_seen = now;
                 self.judge_answer(now, segment, target, begun);
                 let short = segment.flow.flow_hash();
@@ -178,7 +178,7 @@
     /// Notes that a flow's answer has begun to arrive: its target is done with the request.
     fn answer(&mut self, now: Timestamp, id: FlowId, base: u32) {
         let Some(flow) = self.flows.get_mut(&id) else { return };
-        if !flow.stage.is_waiting() {
+        if !flow.stage.awaits_answer() {
             return;
         }
         let (took, objective, target) = (now.saturating_sub(flow.first_seen), flow.objective, flow.target);
@@ -258,7 +258,7 @@
         let Some(flow) = self.flows.get_mut(&id) else { return };
         let open = flow.clone();
         flow.stage = Stage::Closed;
-        if open.stage.is_waiting() {
+        if open.stage.awaits_answer() {
             self.unanswered(now, &open);
         }
     }
@@ -266,11 +266,11 @@
     pub(super) fn unanswered(&mut self, now: Timestamp, flow: &Flow) {
         let took = now.saturating_sub(flow.first_seen);
         let judged = self.has(Mechanism::FailureDetection) && !flow.overdue;
-        if judged && matches!(flow.stage, Stage::Working { .. }) && took >= self.open_requests.usual() * HUNG {
+        if judged && matches!(flow.stage, Stage::AwaitingAnswer { .. }) && took >= self.open_requests.usual() * HUNG {
             self.failures.failed(now, flow.target);
             self.report_failure(flow.target);
         }
-        let opening = matches!(flow.stage, Stage::Opening(_));
+        let opening = matches!(flow.stage, Stage::Handshake(_));
         let outcome = if opening { Outcome::HandshakeUnfinished } else { Outcome::EndedUnanswered };
         let decision = Decision::new(flow.id, outcome);
         self.decide(Decision { took, target: Some(flow.target), ..decision });
--- a/crates/core/src/direct/dispatcher/opening.rs
+++ b/crates/core/src/direct/dispatcher/opening.rs
@@ -17,7 +17,7 @@
 use crate::direct::decision::Outcome;
 use crate::direct::directory::cookie;
 use crate::direct::flows::Flow;
-use crate::direct::flows::Opening;
+use crate::direct::flows::PendingHandshake;
 use crate::direct::flows::Stage;
 use crate::direct::mechanisms::Mechanism;
 use crate::direct::pending::PendingFlow;
@@ -47,7 +47,7 @@
         if let Some(flow) = self.flows.get_mut(&segment.flow).filter(|flow| flow.sequence == segment.sequence) {
             flow.last_seen = now;
             let target = flow.target;
-            let overdue = matches!(&flow.stage, Stage::Opening(opening)
+            let overdue = matches!(&flow.stage, Stage::Handshake(opening)
                 if now.saturating_sub(opening.sent) >= self.handshake_timeout.limit());
             if overdue && self.try_another(now, segment.flow, effects) {
                 return;
@@ -237,7 +237,7 @@
         }
         self.checks.sent(now, target);
         self.forward(target, segment.cookie, Packet::Kept(packet.clone()), effects);
-        let stage = Stage::Opening(Opening { sent: now, packet, tried });
+        let stage = Stage::Handshake(PendingHandshake { sent: now, packet, tried });
         let (id, sequence) = (segment.flow, segment.sequence);
         let (first_seen, last_seen, overdue) = (since, now, false);
         self.flows.insert(Flow { id, target, sequence, stage, first_seen, last_seen, objective, overdue });
@@ -265,7 +265,7 @@
     /// Sends a SYN whose handshake is overdue to another target; tells whether there was one.
     pub(super) fn try_another(&mut self, now: Timestamp, id: FlowId, effects: &mut Vec<Effect>) -> bool {
         let Some(flow) = self.flows.get(&id) else { return false };
-        let Stage::Opening(opening) = &flow.stage else { return false };
+        let Stage::Handshake(opening) = &flow.stage else { return false };
         let (target, sent) = (flow.target, opening.sent);
         let suspicion = self.has(Mechanism::OutlierDetection).then(|| self.outliers.unanswered(now, target, sent));
         if let Some(avoidance) = suspicion.flatten() {
@@ -274,7 +274,7 @@
         }
         self.domain_unanswered(now, target, sent);
         let Some(flow) = self.flows.get(&id) else { return false };
-        let Stage::Opening(opening) = &flow.stage else { return false };
+        let Stage::Handshake(opening) = &flow.stage else { return false };
         if opening.tried.len() + 1 >= MAX_TRIES || !self.has(Mechanism::SecondTry) {
             return false;
         }
--- a/crates/core/src/direct/dispatcher/resetting.rs
+++ b/crates/core/src/direct/dispatcher/resetting.rs
@@ -150,7 +150,7 @@
 
     /// Resets the flows whose callers wait for a target that has just turned out to be out of reach.
     fn reset_waiting(&mut self, now: Timestamp, target: TargetId, effects: &mut Vec<Effect>) {
-        let waits = |stage: &Stage| if let Stage::Working { base } = stage { Some(*base) } else { None };
+        let waits = |stage: &Stage| if let Stage::AwaitingAnswer { base } = stage { Some(*base) } else { None };
         let flows = self.flows.unanswered().filter(|flow| flow.target == target);
         let open: Vec<(FlowId, u32, u32)> =
             flows.filter_map(|flow| waits(&flow.stage).map(|base| (flow.id, flow.sequence, base))).collect();
--- a/crates/core/src/direct/dispatcher/timers.rs
+++ b/crates/core/src/direct/dispatcher/timers.rs
@@ -97,7 +97,8 @@
         {
             return;
         }
-        let Some(flow) = self.flows.get_mut(&id).filter(|flow| matches!(flow.stage, Stage::Working { .. })) else {
+        let Some(flow) = self.flows.get_mut(&id).filter(|flow| matches!(flow.stage, Stage::AwaitingAnswer { .. }))
+        else {
             return;
         };
         flow.overdue = true;
@@ -147,7 +148,7 @@
 
     fn judge_handshake(&mut self, now: Timestamp, due: Timestamp, id: FlowId, effects: &mut Vec<Effect>) {
         let Some(flow) = self.flows.get(&id) else { return };
-        let Stage::Opening(opening) = &flow.stage else { return };
+        let Stage::Handshake(opening) = &flow.stage else { return };
         if opening.sent >= due {
             return;
         }
--- a/crates/core/src/direct/flows.rs
+++ b/crates/core/src/direct/flows.rs
@@ -24,9 +24,9 @@
 #[derive(Clone, Debug)]
 pub enum Stage {
     /// Its SYN was sent to a target; nothing has come from the caller since.
-    Opening(Opening),
+    Handshake(PendingHandshake),
     /// The caller waits for an answer; it had received bytes up to this number before.
-    Working {
+    AwaitingAnswer {
         /// The acknowledgement that came with the request.
         base: u32,
     },
@@ -39,8 +39,8 @@
 impl Stage {
     /// Tells whether the caller waits for an answer.
     #[must_use]
-    pub fn is_waiting(&self) -> bool {
-        matches!(self, Self::Opening(_) | Self::Working { .. })
+    pub fn awaits_answer(&self) -> bool {
+        matches!(self, Self::Handshake(_) | Self::AwaitingAnswer { .. })
     }
 }
 
@@ -55,7 +55,7 @@
 
 /// A handshake that is not finished.
 #[derive(Clone, Debug)]
-pub struct Opening {
+pub struct PendingHandshake {
     /// When the SYN was sent to the present target.
     pub sent: Timestamp,
     /// The SYN, to be sent to another target.
@@ -107,7 +107,7 @@
 
     /// Returns the flows whose callers wait for an answer.
     pub fn unanswered(&self) -> impl Iterator<Item = &Flow> {
-        self.flows.values().filter(|flow| flow.stage.is_waiting())
+        self.flows.values().filter(|flow| flow.stage.awaits_answer())
     }
 
     /// Returns a flow.
@@ -142,7 +142,7 @@
     /// Without this the handshake would seem never to be finished, and its SYN would go to a second target, whose
     /// answer would lead the rest of the flow astray.
     pub fn moved(&mut self, flow: FlowHash) {
-        if self.flows.get(&flow).is_some_and(|flow| matches!(flow.stage, Stage::Opening(_))) {
+        if self.flows.get(&flow).is_some_and(|flow| matches!(flow.stage, Stage::Handshake(_))) {
             self.flows.remove(&flow);
         }
     }
@@ -150,7 +150,7 @@
     /// Notes that another instance has seen a flow's answer.
     pub fn answered_elsewhere(&mut self, flow: FlowHash) {
         self.moved(flow);
-        if let Some(flow) = self.flows.get_mut(&flow).filter(|flow| flow.stage.is_waiting()) {
+        if let Some(flow) = self.flows.get_mut(&flow).filter(|flow| flow.stage.awaits_answer()) {
             flow.stage = Stage::Answered(None);
         }
     }
@@ -178,6 +178,6 @@
             now.saturating_sub(flow.last_seen) >= limit
         };
         let dropped = self.flows.extract_if(silent).map(|(_, flow)| flow);
-        dropped.filter(|flow| flow.stage.is_waiting()).collect()
+        dropped.filter(|flow| flow.stage.awaits_answer()).collect()
     }
 }
