--- a/crates/core/src/direct/dispatcher/mod.rs
+++ b/crates/core/src/direct/dispatcher/mod.rs
@@ -243,7 +243,7 @@
 
     /// Returns how many targets are out of reach or gone while flows of theirs may be open.
     #[must_use]
-    pub fn unreachable(&self) -> usize {
+    pub fn unreachable_count(&self) -> usize {
         self.checks.count_unreachable()
     }
 
