--- a/crates/core/src/direct/dispatcher/mod.rs
+++ b/crates/core/src/direct/dispatcher/mod.rs
@@ -249,7 +249,7 @@
 
     /// Returns how many targets are set aside since their answers look like failures.
     #[must_use]
-    pub fn failing(&self, now: Timestamp) -> usize {
+    pub fn failing_count(&self, now: Timestamp) -> usize {
         self.failures.ejected_count(now)
     }
 
--- a/crates/core/tests/direct/fleet.rs
+++ b/crates/core/tests/direct/fleet.rs
@@ -941,7 +941,7 @@
 
     /// Returns how many targets are set aside, as each instance sees it, added up.
     pub fn set_aside(&self) -> usize {
-        self.instances.iter().flatten().map(|instance| instance.dispatcher.failing(self.now)).sum()
+        self.instances.iter().flatten().map(|instance| instance.dispatcher.failing_count(self.now)).sum()
     }
 
     /// Returns how many requests targets have taken that they never answer.
--- a/crates/direct/src/metrics.rs
+++ b/crates/direct/src/metrics.rs
@@ -46,7 +46,7 @@
     gauge!("hawthornshift_work_open").set(number(sources.dispatcher.open_requests().total()));
     gauge!("hawthornshift_targets_avoided").set(number(sources.dispatcher.outliers().avoided(now).count()));
     gauge!("hawthornshift_targets_unreachable").set(number(sources.dispatcher.unreachable_count()));
-    gauge!("hawthornshift_targets_failing").set(number(sources.dispatcher.failing(now)));
+    gauge!("hawthornshift_targets_failing").set(number(sources.dispatcher.failing_count(now)));
     gauge!("hawthornshift_limits_in_force").set(number(sources.dispatcher.limits_in_force()));
     let takes = directory.targets().filter(|target| target.takes_flows(now)).count();
     gauge!("hawthornshift_targets_listed").set(number(takes));
