--- a/crates/core/src/direct/dispatcher/mod.rs
+++ b/crates/core/src/direct/dispatcher/mod.rs
@@ -255,7 +255,7 @@
 
     /// Returns how many limits are in force, one for each service and failure domain whose targets are overloaded.
     #[must_use]
-    pub fn limits_in_force(&self) -> usize {
+    pub fn active_limit_count(&self) -> usize {
         self.limits.count()
     }
 
--- a/crates/direct/src/metrics.rs
+++ b/crates/direct/src/metrics.rs
@@ -47,7 +47,7 @@
     gauge!("hawthornshift_targets_avoided").set(number(sources.dispatcher.outliers().avoided(now).count()));
     gauge!("hawthornshift_targets_unreachable").set(number(sources.dispatcher.unreachable_count()));
     gauge!("hawthornshift_targets_failing").set(number(sources.dispatcher.failing_count(now)));
-    gauge!("hawthornshift_limits_in_force").set(number(sources.dispatcher.limits_in_force()));
+    gauge!("hawthornshift_limits_in_force").set(number(sources.dispatcher.active_limit_count()));
     let takes = directory.targets().filter(|target| target.takes_flows(now)).count();
     gauge!("hawthornshift_targets_listed").set(number(takes));
 }
