--- a/crates/core/src/direct/dispatcher/mod.rs
+++ b/crates/core/src/direct/dispatcher/mod.rs
@@ -273,7 +273,7 @@
 
     /// Returns how many flows have a record and how many wait.
     #[must_use]
-    pub fn sizes(&self) -> (usize, usize) {
+    pub fn flow_counts(&self) -> (usize, usize) {
         (self.flows.len(), self.waiting.len())
     }
 
--- a/crates/core/tests/direct/fleet.rs
+++ b/crates/core/tests/direct/fleet.rs
@@ -961,7 +961,7 @@
         for instance in self.instances.iter().flatten() {
             let dispatcher = &instance.dispatcher;
             let counts: Vec<u32> = self.targets.keys().map(|id| dispatcher.open_requests().count(*id)).collect();
-            let (flows, waiting) = dispatcher.sizes();
+            let (flows, waiting) = dispatcher.flow_counts();
             let _ = write!(text, "\n      believed {counts:?} flows {flows} waiting {waiting}");
         }
         text
--- a/crates/direct/src/dump.rs
+++ b/crates/direct/src/dump.rs
@@ -95,7 +95,7 @@
 pub fn render(now: Timestamp, sources: &Sources<'_>) -> String {
     let Sources { ready, mechanisms, dispatcher, fleet, callers, peers, process } = *sources;
     let directory = dispatcher.directory();
-    let (flows, waiting) = dispatcher.sizes();
+    let (flows, waiting) = dispatcher.flow_counts();
     let targets = directory.targets().map(|target| TargetState {
         target,
         work: dispatcher.open_requests().count(target.id),
--- a/crates/direct/src/metrics.rs
+++ b/crates/direct/src/metrics.rs
@@ -32,7 +32,7 @@
 
 fn record_state(now: Timestamp, sources: &Sources<'_>) {
     let directory = sources.dispatcher.directory();
-    let (flows, waiting) = sources.dispatcher.sizes();
+    let (flows, waiting) = sources.dispatcher.flow_counts();
     let flag = |value: bool| f64::from(u8::from(value));
     gauge!("hawthornshift_ready").set(flag(sources.ready));
     gauge!("hawthornshift_watching_store").set(flag(sources.fleet.watcher_role().is_watching()));
