--- a/crates/core/src/direct/dispatcher/mod.rs
+++ b/crates/core/src/direct/dispatcher/mod.rs
@@ -1,6 +1,6 @@
 //! What happens to each packet of a caller.
 //!
-//! [`Dispatcher::packet`] takes a packet's head and the present time and appends what to do; [`Dispatcher::tick`] does what
+//! [`Dispatcher::handle_packet`] takes a packet's head and the present time and appends what to do; [`Dispatcher::tick`] does what
 //! is due without a packet. Nothing here opens a socket or reads a clock.
 
 mod following;
@@ -377,7 +377,7 @@
         for (since, segment, packet) in std::mem::take(&mut self.early) {
             if now.saturating_sub(since) < EARLY_AGE {
                 let first = effects.len();
-                self.packet_of(now, since, &segment, &packet, effects);
+                self.handle_packet_at(now, since, &segment, &packet, effects);
                 for effect in &mut effects[first..] {
                     keep(effect, &packet);
                 }
@@ -411,12 +411,12 @@
     }
 
     /// Decides about a caller's packet.
-    pub fn packet(&mut self, now: Timestamp, segment: &Segment, packet: &[u8], effects: &mut Vec<Effect>) {
-        self.packet_of(now, now, segment, packet, effects);
+    pub fn handle_packet(&mut self, now: Timestamp, segment: &Segment, packet: &[u8], effects: &mut Vec<Effect>) {
+        self.handle_packet_at(now, now, segment, packet, effects);
     }
 
     /// Decides about a packet that came at `since`, which is earlier when it was kept.
-    fn packet_of(
+    fn handle_packet_at(
         &mut self,
         now: Timestamp,
         since: Timestamp,
--- a/crates/core/tests/direct/fleet.rs
+++ b/crates/core/tests/direct/fleet.rs
@@ -808,7 +808,7 @@
         self.segments.push(segment);
         self.current = Box::new((self.segments.len() - 1).to_le_bytes());
         let packet = self.current.clone();
-        self.with(index, |instance, now, effects| instance.dispatcher.packet(now, &segment, &packet, effects));
+        self.with(index, |instance, now, effects| instance.dispatcher.handle_packet(now, &segment, &packet, effects));
     }
 
     fn at_target(&mut self, id: TargetId, segment: Segment) {
--- a/crates/core/tests/direct/rules.rs
+++ b/crates/core/tests/direct/rules.rs
@@ -66,7 +66,7 @@
 
 fn act(dispatcher: &mut Dispatcher, now: Timestamp, segment: &Segment) -> Vec<Effect> {
     let mut effects = Vec::new();
-    dispatcher.packet(now, segment, b"packet", &mut effects);
+    dispatcher.handle_packet(now, segment, b"packet", &mut effects);
     effects
 }
 
@@ -370,7 +370,7 @@
     let mut dispatcher = ready(1);
     let mut effects = Vec::new();
     for port in 1..10 {
-        dispatcher.packet(ms(10), &syn(port), b"syn", &mut effects);
+        dispatcher.handle_packet(ms(10), &syn(port), b"syn", &mut effects);
     }
     let restarted = StoreEntry::Target(target_id(0), Some(target_facts(0, Duration::from_secs(2))));
     let facts = vec![VersionedEntry { revision: 30, entry: restarted }];
@@ -381,7 +381,7 @@
     );
     effects.clear();
     for port in 1..10 {
-        dispatcher.packet(ms(210), &segment(port, SegmentKind::Syn { copies: 1 }), b"syn", &mut effects);
+        dispatcher.handle_packet(ms(210), &segment(port, SegmentKind::Syn { copies: 1 }), b"syn", &mut effects);
     }
     let sent = effects.iter().filter(|effect| matches!(effect, Effect::Forward { .. })).count();
     assert_eq!(sent, 1, "{effects:?}");
--- a/crates/direct/src/process.rs
+++ b/crates/direct/src/process.rs
@@ -247,7 +247,7 @@
             }
             // Malformed ones are counted by the socket.
             let Ok(segment) = decoded else { continue };
-            self.dispatcher.packet(now, &segment, self.callers.packet(), &mut self.effects);
+            self.dispatcher.handle_packet(now, &segment, self.callers.packet(), &mut self.effects);
             self.carry_out();
         }
     }
