--- a/crates/core/src/direct/dispatcher/mod.rs
+++ b/crates/core/src/direct/dispatcher/mod.rs
@@ -69,7 +69,7 @@
     /// The one that was just handed in.
     Current,
     /// One that was kept.
-    Kept(Box<[u8]>),
+    Buffered(Box<[u8]>),
 }
 
 /// Something to do.
@@ -173,7 +173,7 @@
     if let Effect::Forward { packet, .. } = effect
         && *packet == Packet::Current
     {
-        *packet = Packet::Kept(kept.into());
+        *packet = Packet::Buffered(kept.into());
     }
 }
 
--- a/crates/core/src/direct/dispatcher/opening.rs
+++ b/crates/core/src/direct/dispatcher/opening.rs
@@ -236,7 +236,7 @@
             self.domains.tried(now, &target.spec.failure_domain);
         }
         self.checks.sent(now, target);
-        self.forward(target, segment.cookie, Packet::Kept(packet.clone()), effects);
+        self.forward(target, segment.cookie, Packet::Buffered(packet.clone()), effects);
         let stage = Stage::Handshake(PendingHandshake { sent: now, packet, tried });
         let (id, sequence) = (segment.flow, segment.sequence);
         let (first_seen, last_seen, overdue) = (since, now, false);
--- a/crates/core/tests/direct/fleet.rs
+++ b/crates/core/tests/direct/fleet.rs
@@ -525,7 +525,7 @@
         match effect {
             Effect::Forward { target, packet, cookie: written, .. } => {
                 let bytes = match packet {
-                    Packet::Kept(kept) => kept,
+                    Packet::Buffered(kept) => kept,
                     Packet::Current => self.current.clone(),
                 };
                 let mut segment = self.segments[usize::from_le_bytes(bytes[..].try_into().unwrap())];
--- a/crates/core/tests/direct/rules.rs
+++ b/crates/core/tests/direct/rules.rs
@@ -202,7 +202,7 @@
     let mut effects = Vec::new();
     dispatcher.apply_delta(ms(30), &whole(1), &mut effects);
     assert_eq!(sent_to(&effects), [target_id(0)]);
-    let kept = matches!(&effects[0], Effect::Forward { packet: Packet::Kept(kept), .. } if &kept[..] == b"packet");
+    let kept = matches!(&effects[0], Effect::Forward { packet: Packet::Buffered(kept), .. } if &kept[..] == b"packet");
     assert!(kept, "{effects:?}");
 }
 
--- a/crates/direct/src/callers.rs
+++ b/crates/direct/src/callers.rs
@@ -119,7 +119,7 @@
                 let sent = self.socket.try_send_to(&self.buf[..end], SocketAddr::V4(to));
                 self.count(sent.is_ok(), true);
             }
-            Effect::Forward { packet: Packet::Kept(kept), to, target, cookie } => {
+            Effect::Forward { packet: Packet::Buffered(kept), to, target, cookie } => {
                 let mut buf = packet::addressee(target).to_vec();
                 buf.extend_from_slice(&kept);
                 if let Some(cookie) = cookie {
