--- a/crates/core/src/direct/dispatcher/mod.rs
+++ b/crates/core/src/direct/dispatcher/mod.rs
@@ -102,7 +102,7 @@
 struct Syn<'a> {
     segment: &'a Segment,
     /// Copies that the caller had sent before.
-    copies: u32,
+    retransmissions: u32,
     packet: &'a [u8],
     since: Timestamp,
 }
@@ -434,9 +434,9 @@
             return;
         };
         match segment.kind {
-            SegmentKind::Syn { copies } => {
+            SegmentKind::Syn { retransmissions } => {
                 let route = route.clone();
-                self.open(now, &Syn { segment, copies, packet, since }, &route, effects);
+                self.open(now, &Syn { segment, retransmissions, packet, since }, &route, effects);
             }
             SegmentKind::Ack | SegmentKind::Fin | SegmentKind::Rst => self.carry(now, segment, effects),
         }
--- a/crates/core/src/direct/dispatcher/opening.rs
+++ b/crates/core/src/direct/dispatcher/opening.rs
@@ -43,7 +43,7 @@
 impl Dispatcher {
     /// Decides about a SYN.
     pub(super) fn open(&mut self, now: Timestamp, syn: &Syn<'_>, route: &Route, effects: &mut Vec<Effect>) {
-        let Syn { segment, copies, packet, since } = *syn;
+        let Syn { segment, retransmissions, packet, since } = *syn;
         if let Some(flow) = self.flows.get_mut(&segment.flow).filter(|flow| flow.sequence == segment.sequence) {
             flow.last_seen = now;
             let target = flow.target;
@@ -59,7 +59,7 @@
             self.forward(target, segment.cookie, Packet::Current, effects);
             return;
         }
-        if self.waiting.receive_copy(now, segment, copies) {
+        if self.waiting.receive_copy(now, segment, retransmissions) {
             return;
         }
         let hash = segment.flow.hash64();
@@ -70,14 +70,15 @@
             self.decide(Decision::new(segment.flow, Outcome::ResetNoTarget));
             return;
         };
-        let mut waiting = PendingFlow::new(*segment, packet, since, copies, route.latency_objective, route.timeout);
+        let mut waiting =
+            PendingFlow::new(*segment, packet, since, retransmissions, route.latency_objective, route.timeout);
         waiting.priority = route.priority;
         waiting.service.clone_from(&share.service);
         if !self.has(Mechanism::LateLast) {
             waiting.in_time_until = waiting.until;
         }
         // Copies tell of an interruption that is over, and not of the load that is to come.
-        if copies == 0 {
+        if retransmissions == 0 {
             self.rates.arrived(now, &share.service);
         }
         let late = waiting.is_late(now);
@@ -223,10 +224,11 @@
         effects: &mut Vec<Effect>,
     ) {
         let PendingFlow { segment, packet, since, tried, .. } = waiting;
-        let copies = if let SegmentKind::Syn { copies } = segment.kind { copies } else { 0 };
+        let retransmissions = if let SegmentKind::Syn { retransmissions } = segment.kind { retransmissions } else { 0 };
         let objective = self.directory.route(segment.flow.service).map_or(Duration::MAX, |r| r.latency_objective);
         let took = now.saturating_sub(since);
-        let decision = Decision { copies, took, tried: tried.len(), ..Decision::new(segment.flow, outcome) };
+        let decision =
+            Decision { copies: retransmissions, took, tried: tried.len(), ..Decision::new(segment.flow, outcome) };
         self.decide(Decision { target: Some(target), work: self.open_requests.count(target), ..decision });
         let flow = segment.flow.flow_hash();
         self.open_requests.start(now, flow, target);
@@ -285,7 +287,7 @@
         tried.push(target);
         let segment = Segment {
             flow: id,
-            kind: SegmentKind::Syn { copies: 0 },
+            kind: SegmentKind::Syn { retransmissions: 0 },
             sequence: flow.sequence,
             acknowledged: 0,
             payload: 0,
--- a/crates/core/src/direct/pending.rs
+++ b/crates/core/src/direct/pending.rs
@@ -40,7 +40,7 @@
     /// When its latest copy came.
     heard: Timestamp,
     /// How many copies the caller had sent before that.
-    copies: u32,
+    retransmissions: u32,
     /// How many of them came here.
     seen: u32,
     /// Until when it may still be answered within its latency objective.
@@ -62,17 +62,17 @@
         segment: Segment,
         packet: &[u8],
         since: Timestamp,
-        copies: u32,
+        retransmissions: u32,
         objective: Duration,
         timeout: Duration,
     ) -> Self {
-        let age = COPY_AGES[usize::try_from(copies).unwrap_or(usize::MAX).min(COPY_AGES.len() - 1)];
+        let age = COPY_AGES[usize::try_from(retransmissions).unwrap_or(usize::MAX).min(COPY_AGES.len() - 1)];
         Self {
             segment,
             packet: packet.into(),
             since,
             heard: since,
-            copies,
+            retransmissions,
             seen: 0,
             in_time_until: since + objective.saturating_sub(age) / OBJECTIVE_DIVISOR,
             until: since + timeout.min(ATTEMPT).saturating_sub(age),
@@ -94,8 +94,9 @@
     /// What waits here is a leftover then, and nobody may tell its caller that nothing has run.
     #[must_use]
     pub fn may_be_reset(&self, now: Timestamp) -> bool {
-        let next = usize::try_from(self.copies).ok().and_then(|copies| NEXT_COPY.get(copies));
-        self.seen == self.copies && next.is_none_or(|next| now + RESET_MARGIN < self.heard + *next)
+        let next =
+            usize::try_from(self.retransmissions).ok().and_then(|retransmissions| NEXT_COPY.get(retransmissions));
+        self.seen == self.retransmissions && next.is_none_or(|next| now + RESET_MARGIN < self.heard + *next)
     }
 
     /// The newest first: under overload those that came before it are the least likely to be still wanted when they are
@@ -152,12 +153,12 @@
     }
 
     /// Notes a copy of a SYN; tells whether its flow waits here.
-    pub fn receive_copy(&mut self, now: Timestamp, segment: &Segment, copies: u32) -> bool {
+    pub fn receive_copy(&mut self, now: Timestamp, segment: &Segment, retransmissions: u32) -> bool {
         let mut all = self.in_time.iter_mut().chain(&mut self.late);
         let waiting = all.find(|waiting| waiting.segment.flow == segment.flow);
         let Some(waiting) = waiting else { return false };
         waiting.heard = now;
-        waiting.copies = copies;
+        waiting.retransmissions = retransmissions;
         waiting.seen += 1;
         true
     }
--- a/crates/core/src/direct/segment.rs
+++ b/crates/core/src/direct/segment.rs
@@ -53,7 +53,7 @@
     /// A SYN, with the number of copies sent before it.
     Syn {
         /// Zero for the first; callers repeat a SYN that is not answered.
-        copies: u32,
+        retransmissions: u32,
     },
     /// Data or an acknowledgement.
     Ack,
--- a/crates/core/tests/direct/fleet.rs
+++ b/crates/core/tests/direct/fleet.rs
@@ -628,7 +628,7 @@
             Event::Deadline(request) => self.deadline(request),
             Event::Ask => self.ask(),
             Event::Probe => self.probe(),
-            Event::Syn(request, attempt, copies) => self.syn(request, attempt, copies),
+            Event::Syn(request, attempt, retransmissions) => self.syn(request, attempt, retransmissions),
             Event::AttemptEnds(request, attempt) => self.attempt_ends(request, attempt),
             Event::AtInstance(index, segment) => self.at_instance(index, segment),
             Event::AtTarget(target, segment) => self.at_target(target, segment),
@@ -711,8 +711,8 @@
         state.received = FIRST_RECEIVED;
         let attempt = state.attempt;
         self.by_flow.insert(flow, request);
-        for (copies, wait) in [(0, 0), (1, 200), (2, 600)] {
-            self.after(ms(wait), Event::Syn(request, attempt, copies));
+        for (retransmissions, wait) in [(0, 0), (1, 200), (2, 600)] {
+            self.after(ms(wait), Event::Syn(request, attempt, retransmissions));
         }
         self.after(ms(1_400), Event::AttemptEnds(request, attempt));
     }
@@ -757,9 +757,9 @@
         state.attempt == attempt && state.answered.is_none() && self.now < state.asked + self.timeout
     }
 
-    fn syn(&mut self, request: usize, attempt: u32, copies: u32) {
+    fn syn(&mut self, request: usize, attempt: u32, retransmissions: u32) {
         if self.is_open(request, attempt) && self.requests[request].opened.is_none() {
-            self.pass_to_instance(request, SegmentKind::Syn { copies }, 0, 0, 0);
+            self.pass_to_instance(request, SegmentKind::Syn { retransmissions }, 0, 0, 0);
         }
     }
 
--- a/crates/core/tests/direct/rules.rs
+++ b/crates/core/tests/direct/rules.rs
@@ -61,7 +61,7 @@
 }
 
 fn syn(port: u16) -> Segment {
-    segment(port, SegmentKind::Syn { copies: 0 })
+    segment(port, SegmentKind::Syn { retransmissions: 0 })
 }
 
 fn act(dispatcher: &mut Dispatcher, now: Timestamp, segment: &Segment) -> Vec<Effect> {
@@ -256,7 +256,7 @@
         for (port, kind, sequence, acknowledged, payload, cookie_of) in packets {
             now += ms(u64::from(payload % 97));
             let kind = match kind {
-                0 => SegmentKind::Syn { copies: acknowledged % 4 },
+                0 => SegmentKind::Syn { retransmissions: acknowledged % 4 },
                 1 => SegmentKind::Ack,
                 2 => SegmentKind::Fin,
                 _ => SegmentKind::Rst,
@@ -381,7 +381,12 @@
     );
     effects.clear();
     for port in 1..10 {
-        dispatcher.handle_packet(ms(210), &segment(port, SegmentKind::Syn { copies: 1 }), b"syn", &mut effects);
+        dispatcher.handle_packet(
+            ms(210),
+            &segment(port, SegmentKind::Syn { retransmissions: 1 }),
+            b"syn",
+            &mut effects,
+        );
     }
     let sent = effects.iter().filter(|effect| matches!(effect, Effect::Forward { .. })).count();
     assert_eq!(sent, 1, "{effects:?}");
