--- a/crates/core/src/direct/dispatcher/following.rs
+++ b/crates/core/src/direct/dispatcher/following.rs
@@ -69,7 +69,7 @@
     /// without word.
     fn take_over(&mut self, now: Timestamp, segment: &Segment, target: TargetId, effects: &mut Vec<Effect>) {
         let (id, short) = (segment.flow, segment.flow.flow_hash());
-        let asks = segment.payload > 0 && segment.kind == SegmentKind::Ack;
+        let asks = segment.payload_bytes > 0 && segment.kind == SegmentKind::Ack;
         let stage = match segment.kind {
             _ if asks => Stage::AwaitingAnswer { base: segment.acknowledged },
             SegmentKind::Ack => Stage::Answered(None),
@@ -111,7 +111,7 @@
                 segment.acknowledged
             }
             Stage::AwaitingAnswer { base } => *base,
-            Stage::Answered(begun) if segment.payload > 0 => {
+            Stage::Answered(begun) if segment.payload_bytes > 0 => {
                 let begun = *begun;
                 flow.stage = Stage::AwaitingAnswer { base: segment.acknowledged };
                 flow.first_seen = now;
--- a/crates/core/src/direct/dispatcher/opening.rs
+++ b/crates/core/src/direct/dispatcher/opening.rs
@@ -290,7 +290,7 @@
             kind: SegmentKind::Syn { retransmissions: 0 },
             sequence: flow.sequence,
             acknowledged: 0,
-            payload: 0,
+            payload_bytes: 0,
             cookie: 0,
         };
         let mut waiting = PendingFlow::new(segment, &opening.packet, flow.first_seen, 0, flow.objective, Duration::MAX);
--- a/crates/core/src/direct/dispatcher/resetting.rs
+++ b/crates/core/src/direct/dispatcher/resetting.rs
@@ -140,7 +140,7 @@
         target: TargetId,
         effects: &mut Vec<Effect>,
     ) -> bool {
-        let asks = segment.payload > 0 && segment.kind == SegmentKind::Ack;
+        let asks = segment.payload_bytes > 0 && segment.kind == SegmentKind::Ack;
         if !asks || !self.may_reset(segment.flow, target) {
             return false;
         }
@@ -157,7 +157,7 @@
         for (flow, sequence, acknowledged) in open {
             if self.may_reset(flow, target) {
                 let kind = SegmentKind::Ack;
-                let segment = Segment { flow, kind, sequence, acknowledged, payload: 0, cookie: cookie(target) };
+                let segment = Segment { flow, kind, sequence, acknowledged, payload_bytes: 0, cookie: cookie(target) };
                 self.reset_open(now, segment, target, effects);
             }
         }
--- a/crates/core/src/direct/segment.rs
+++ b/crates/core/src/direct/segment.rs
@@ -75,7 +75,7 @@
     /// Number of the byte that the caller expects next.
     pub acknowledged: u32,
     /// Bytes of data.
-    pub payload: u16,
+    pub payload_bytes: u16,
     /// The cookie that the packet carries.
     pub cookie: Cookie,
 }
--- a/crates/core/tests/direct/fleet.rs
+++ b/crates/core/tests/direct/fleet.rs
@@ -794,10 +794,17 @@
     }
 
     /// Sends a caller's packet to the instance that the fabric picks.
-    fn pass_to_instance(&mut self, request: usize, kind: SegmentKind, acknowledged: u32, payload: u16, cookie: Cookie) {
+    fn pass_to_instance(
+        &mut self,
+        request: usize,
+        kind: SegmentKind,
+        acknowledged: u32,
+        payload_bytes: u16,
+        cookie: Cookie,
+    ) {
         let flow = self.requests[request].flow;
         let sequence = 7;
-        let segment = Segment { flow, kind, sequence, acknowledged, payload, cookie };
+        let segment = Segment { flow, kind, sequence, acknowledged, payload_bytes, cookie };
         let up = self.reachable_instances(request);
         if let Some(pick) = up.get(usize::try_from(flow.hash64() % up.len().max(1) as u64).unwrap()) {
             self.after(TO_CALLER, Event::AtInstance(*pick, segment));
@@ -821,7 +828,7 @@
                 target.flows.entry(segment.flow).or_insert(None);
                 self.after(TO_CALLER, Event::Opened(request, segment.flow, id));
             }
-            SegmentKind::Ack if segment.payload > 0 => {
+            SegmentKind::Ack if segment.payload_bytes > 0 => {
                 if target.fails > 0.0 && self.rng.random_bool(target.fails) {
                     self.after(TO_CALLER, Event::Failed(request, segment.flow));
                     return;
--- a/crates/core/tests/direct/rules.rs
+++ b/crates/core/tests/direct/rules.rs
@@ -57,7 +57,7 @@
 }
 
 fn segment(port: u16, kind: SegmentKind) -> Segment {
-    Segment { flow: flow(port), kind, sequence: 5, acknowledged: 0, payload: 0, cookie: 0 }
+    Segment { flow: flow(port), kind, sequence: 5, acknowledged: 0, payload_bytes: 0, cookie: 0 }
 }
 
 fn syn(port: u16) -> Segment {
@@ -136,7 +136,7 @@
     }
     dispatcher.apply_delta(ms(4_000), &news(13, StoreEntry::Target(target_id(1), None)), &mut Vec::new());
     let data =
-        Segment { payload: 10, acknowledged: 9, cookie: cookie(target_id(1)), ..segment(open, SegmentKind::Ack) };
+        Segment { payload_bytes: 10, acknowledged: 9, cookie: cookie(target_id(1)), ..segment(open, SegmentKind::Ack) };
     assert_eq!(sent_to(&act(&mut dispatcher, ms(4_100), &data)), [target_id(1)]);
 }
 
@@ -161,7 +161,7 @@
         assert!(!sent_to(&act(&mut dispatcher, ms(6), &syn(port))).contains(&target_id(1)));
     }
     let data =
-        Segment { payload: 10, acknowledged: 9, cookie: cookie(target_id(1)), ..segment(open, SegmentKind::Ack) };
+        Segment { payload_bytes: 10, acknowledged: 9, cookie: cookie(target_id(1)), ..segment(open, SegmentKind::Ack) };
     assert_eq!(sent_to(&act(&mut dispatcher, ms(3_900), &data)), [target_id(1)]);
     assert_eq!(sent_to(&act(&mut dispatcher, ms(4_100), &data)), Vec::<u64>::new());
 }
@@ -186,7 +186,7 @@
     act(&mut dispatcher, ms(1), &syn(1));
     let without = Routing { version: 2, routes: Vec::new(), ..routing() };
     dispatcher.apply_delta(ms(5), &news(12, StoreEntry::Routing(without)), &mut Vec::new());
-    let data = Segment { payload: 10, cookie: cookie(target_id(0)), ..segment(1, SegmentKind::Ack) };
+    let data = Segment { payload_bytes: 10, cookie: cookie(target_id(0)), ..segment(1, SegmentKind::Ack) };
     assert!(matches!(act(&mut dispatcher, ms(6), &data)[..], [Effect::Reset(_)]));
     assert!(matches!(act(&mut dispatcher, ms(6), &syn(2))[..], [Effect::Reset(_)]));
 }
@@ -196,7 +196,7 @@
 #[test]
 fn an_instance_that_knows_nothing_yet_resets_nobody() {
     let mut dispatcher = dispatcher();
-    let data = Segment { payload: 10, cookie: 77, ..segment(1, SegmentKind::Ack) };
+    let data = Segment { payload_bytes: 10, cookie: 77, ..segment(1, SegmentKind::Ack) };
     assert_eq!(act(&mut dispatcher, ms(1), &data), Vec::new());
     assert_eq!(act(&mut dispatcher, ms(1), &syn(2)), Vec::new());
     let mut effects = Vec::new();
@@ -211,7 +211,7 @@
 #[test]
 fn an_unknown_cookie_is_dropped_in_silence() {
     let mut dispatcher = ready(1);
-    let data = Segment { payload: 10, cookie: 0xDEAD, ..segment(1, SegmentKind::Ack) };
+    let data = Segment { payload_bytes: 10, cookie: 0xDEAD, ..segment(1, SegmentKind::Ack) };
     assert_eq!(act(&mut dispatcher, ms(1), &data), Vec::new());
     assert_eq!(dispatcher.counts().get(Outcome::DroppedUnknownCookie), 1);
 }
@@ -223,7 +223,7 @@
     let mut dispatcher = ready(2);
     let first = sent_to(&act(&mut dispatcher, ms(1), &syn(1)))[0];
     let other = target_id(usize::from(first == target_id(0)));
-    let data = Segment { payload: 10, acknowledged: 9, cookie: cookie(first), ..segment(1, SegmentKind::Ack) };
+    let data = Segment { payload_bytes: 10, acknowledged: 9, cookie: cookie(first), ..segment(1, SegmentKind::Ack) };
     assert_eq!(sent_to(&act(&mut dispatcher, ms(8), &data)), [first]);
     let misled = Segment { acknowledged: 2_000, cookie: cookie(other), ..data };
     let effects = act(&mut dispatcher, ms(60), &misled);
@@ -253,8 +253,8 @@
     ) {
         let mut dispatcher = ready(3);
         let mut now = Timestamp::ZERO;
-        for (port, kind, sequence, acknowledged, payload, cookie_of) in packets {
-            now += ms(u64::from(payload % 97));
+        for (port, kind, sequence, acknowledged, payload_bytes, cookie_of) in packets {
+            now += ms(u64::from(payload_bytes % 97));
             let kind = match kind {
                 0 => SegmentKind::Syn { retransmissions: acknowledged % 4 },
                 1 => SegmentKind::Ack,
@@ -262,7 +262,7 @@
                 _ => SegmentKind::Rst,
             };
             let known = cookie(target_id(usize::try_from(cookie_of).unwrap()));
-            let segment = Segment { flow: flow(port), kind, sequence, acknowledged, payload, cookie: known };
+            let segment = Segment { flow: flow(port), kind, sequence, acknowledged, payload_bytes, cookie: known };
             let mut effects = act(&mut dispatcher, now, &segment);
             dispatcher.tick(now, &mut effects);
             for target in sent_to(&effects) {
@@ -302,9 +302,9 @@
 
 /// Lets a target finish the handshake of a flow and answer its request.
 fn answer(dispatcher: &mut Dispatcher, now: Timestamp, port: u16, target: u64) {
-    let data = Segment { payload: 9, acknowledged: 9, cookie: cookie(target), ..segment(port, SegmentKind::Ack) };
+    let data = Segment { payload_bytes: 9, acknowledged: 9, cookie: cookie(target), ..segment(port, SegmentKind::Ack) };
     act(dispatcher, now + ms(7), &data);
-    let received = Segment { acknowledged: 900, payload: 0, ..data };
+    let received = Segment { acknowledged: 900, payload_bytes: 0, ..data };
     act(dispatcher, now + ms(30), &received);
 }
 
@@ -414,7 +414,7 @@
     let mut dispatcher = ready(3);
     act(&mut dispatcher, ms(1), &syn(1));
     act(&mut dispatcher, ms(2), &syn(2));
-    act(&mut dispatcher, ms(5), &Segment { acknowledged: 100, payload: 40, ..segment(2, SegmentKind::Ack) });
+    act(&mut dispatcher, ms(5), &Segment { acknowledged: 100, payload_bytes: 40, ..segment(2, SegmentKind::Ack) });
     for step in 0..2_000_u64 {
         dispatcher.tick(ms(step * 10), &mut Vec::new());
     }
