--- a/crates/core/src/direct/starting.rs
+++ b/crates/core/src/direct/bootstrap.rs
@@ -45,7 +45,7 @@
 
 /// An instance's attempts to learn everything.
 #[derive(Clone, Copy, Debug)]
-pub struct Starting {
+pub struct Bootstrap {
     read_after: Timestamp,
     /// Instances that read the store at the same time.
     readers: u32,
@@ -54,7 +54,7 @@
     next_ask: Timestamp,
 }
 
-impl Starting {
+impl Bootstrap {
     /// Begins at time zero; `draw` between zero and one spreads those that start together.
     #[must_use]
     pub fn new(first_start: bool, link_mbps: f64, draw: f64) -> Self {
--- a/crates/core/src/direct/mod.rs
+++ b/crates/core/src/direct/mod.rs
@@ -14,7 +14,7 @@
 //!   [`adaptive_limit`] what it sends while targets are overloaded; [`flows`] are the records of those that pass through here.
 //! - [`readiness`] tells whether callers should be handed to this instance at all.
 //! - [`fleet`] is the other instances, [`watch`] who of them watches the store, [`message`] what they say.
-//! - [`starting`] is how an instance learns everything when it starts. [`pause`] notices that the process was
+//! - [`bootstrap`] is how an instance learns everything when it starts. [`pause`] notices that the process was
 //!   paused. [`stopping`] tells when a planned stop is over.
 //! - [`mechanisms`] are the switches by which a trial turns single decisions off.
 //! - [`decision`] is what logs and metrics show of all that.
@@ -22,6 +22,7 @@
 pub mod adaptive_limit;
 pub mod admission;
 pub mod answer_times;
+pub mod bootstrap;
 pub mod concurrency_limit;
 pub mod decision;
 pub mod directory;
@@ -44,7 +45,6 @@
 pub mod routes;
 pub mod segment;
 pub mod smoothed_time;
-pub mod starting;
 pub mod stopping;
 pub mod store_entries;
 pub mod watch;
--- a/crates/core/tests/direct/main.rs
+++ b/crates/core/tests/direct/main.rs
@@ -1,6 +1,7 @@
 //! The direct path in virtual time.
 #![allow(dead_code, unreachable_pub, reason = "each test module uses its own part of the harness")]
 
+mod bootstrap;
 mod convergence;
 mod directory;
 mod domain_loss;
@@ -14,6 +15,5 @@
 mod readiness;
 mod routes;
 mod rules;
-mod starting;
 mod store_news;
 mod watching;
--- a/crates/direct/src/process.rs
+++ b/crates/direct/src/process.rs
@@ -44,6 +44,7 @@
 use crate::reload::Reload;
 use crate::store_reader;
 use hawthornshift_core::Timestamp;
+use hawthornshift_core::direct::bootstrap::Bootstrap;
 use hawthornshift_core::direct::dispatcher::Dispatcher;
 use hawthornshift_core::direct::dispatcher::DispatcherConfig;
 use hawthornshift_core::direct::dispatcher::Effect;
@@ -57,7 +58,6 @@
 use hawthornshift_core::direct::message::StoreUpdate;
 use hawthornshift_core::direct::pause::PauseDetector;
 use hawthornshift_core::direct::readiness::Readiness;
-use hawthornshift_core::direct::starting::Starting;
 use hawthornshift_core::direct::stopping::Stopping;
 use hawthornshift_core::membership::Identity;
 use hawthornshift_model::InstanceId;
@@ -96,7 +96,7 @@
     stopping: Option<Stopping>,
     pulling: bool,
     store_lost: bool,
-    starting: Starting,
+    bootstrap: Bootstrap,
     changes: ChangeLog,
     next_fleet: Timestamp,
     next_settings: Timestamp,
@@ -138,7 +138,7 @@
         let client = StoreClient::new(platform.store);
         tokio::spawn(store_reader::run(client, watched, tx.clone(), cancel.clone()));
         let draw = rand::rng().random_range(0.0..1.0);
-        let starting = Starting::new(platform.first_start, platform.link_mbps, draw);
+        let bootstrap = Bootstrap::new(platform.first_start, platform.link_mbps, draw);
         Ok(Self {
             started: Instant::now(),
             log: config.log.clone(),
@@ -158,7 +158,7 @@
             stopping: None,
             pulling: false,
             store_lost: false,
-            starting,
+            bootstrap,
             changes: ChangeLog::default(),
             next_fleet: Timestamp::ZERO,
             next_settings: SETTINGS_PERIOD,
@@ -216,7 +216,7 @@
         if self.dispatcher.directory().is_synced() || self.pulling {
             return due;
         }
-        due.min(self.starting.next_due(self.fleet.watcher_role().should_read()))
+        due.min(self.bootstrap.next_due(self.fleet.watcher_role().should_read()))
     }
 
     fn stop(&mut self) {
@@ -277,7 +277,7 @@
                 FleetEffect::Send(to, frame) => self.send(&to, frame),
                 FleetEffect::RoleChange(duty) => self.order(duty),
                 // One that knows nothing yet asks at its own pace, and not all of them the same instance.
-                FleetEffect::Pull(_) if !self.dispatcher.directory().is_synced() => self.starting.hasten(now),
+                FleetEffect::Pull(_) if !self.dispatcher.directory().is_synced() => self.bootstrap.hasten(now),
                 FleetEffect::Pull(from) => self.pull(from),
                 FleetEffect::UpToDate => self.confirm_news(now),
                 FleetEffect::ApplyDelta(delta) => self.learn(now, &delta, "peer"),
--- a/crates/direct/src/process/news.rs
+++ b/crates/direct/src/process/news.rs
@@ -97,7 +97,7 @@
             PullOutcome::Received(handover) => handover,
             PullOutcome::Refused => {
                 self.counts.pull_refusals += 1;
-                self.starting.refused(now, rand::rng().random_range(0.0..1.0));
+                self.bootstrap.refused(now, rand::rng().random_range(0.0..1.0));
                 return;
             }
             PullOutcome::Failed => {
@@ -155,10 +155,10 @@
     /// Gets a whole picture for an instance that has just started, from a peer or from the store.
     pub(super) fn ask_for_everything(&mut self, now: Timestamp) {
         let (informed, others) = (self.fleet.up_to_date_peers(), self.fleet.reachable());
-        if let Some(peer) = self.starting.ask(now, &informed, &others, &mut rand::rng()) {
+        if let Some(peer) = self.bootstrap.ask(now, &informed, &others, &mut rand::rng()) {
             self.pull(peer);
         }
-        if self.starting.reads_store(now, self.fleet.rank(), self.fleet.watcher_role()) {
+        if self.bootstrap.reads_store(now, self.fleet.rank(), self.fleet.watcher_role()) {
             self.fleet.watcher_role_mut().begin(now);
             self.order(RoleChange::Begin);
         }
