--- a/crates/core/src/direct/bootstrap.rs
+++ b/crates/core/src/direct/bootstrap.rs
@@ -75,7 +75,7 @@
     }
 
     /// Notes that somebody is known to have everything: there is no need to wait for the next question.
-    pub fn hasten(&mut self, now: Timestamp) {
+    pub fn ask_now(&mut self, now: Timestamp) {
         self.next_ask = self.next_ask.min(now);
     }
 
--- a/crates/core/tests/direct/bootstrap.rs
+++ b/crates/core/tests/direct/bootstrap.rs
@@ -74,7 +74,7 @@
     }
     assert_eq!(asked, informed.into_iter().collect());
     assert_eq!(bootstrap.ask(ms(5_990), &[], &others, &mut rng), None);
-    bootstrap.hasten(ms(5_991));
+    bootstrap.ask_now(ms(5_991));
     assert!(bootstrap.ask(ms(5_991), &[], &others, &mut rng).is_some());
 }
 
--- a/crates/direct/src/process.rs
+++ b/crates/direct/src/process.rs
@@ -277,7 +277,7 @@
                 FleetEffect::Send(to, frame) => self.send(&to, frame),
                 FleetEffect::RoleChange(duty) => self.order(duty),
                 // One that knows nothing yet asks at its own pace, and not all of them the same instance.
-                FleetEffect::Pull(_) if !self.dispatcher.directory().is_synced() => self.bootstrap.hasten(now),
+                FleetEffect::Pull(_) if !self.dispatcher.directory().is_synced() => self.bootstrap.ask_now(now),
                 FleetEffect::Pull(from) => self.pull(from),
                 FleetEffect::UpToDate => self.confirm_news(now),
                 FleetEffect::ApplyDelta(delta) => self.learn(now, &delta, "peer"),
