--- a/crates/core/src/direct/bootstrap.rs
+++ b/crates/core/src/direct/bootstrap.rs
@@ -80,7 +80,7 @@
     }
 
     /// Notes that a peer is busy handing over to others; `draw` lies between zero and one.
-    pub fn refused(&mut self, now: Timestamp, draw: f64) {
+    pub fn handle_refusal(&mut self, now: Timestamp, draw: f64) {
         self.next_ask = now + ASK_AFTER_REFUSAL.mul_f64(1.0 + draw);
     }
 
--- a/crates/core/tests/direct/bootstrap.rs
+++ b/crates/core/tests/direct/bootstrap.rs
@@ -85,7 +85,7 @@
     let (mut bootstrap, mut rng) = (Bootstrap::new(false, FAST, 0.5), SmallRng::seed_from_u64(3));
     let informed = addresses(3);
     assert!(bootstrap.ask(ms(0), &informed, &[], &mut rng).is_some());
-    bootstrap.refused(ms(2), 0.5);
+    bootstrap.handle_refusal(ms(2), 0.5);
     assert_eq!(bootstrap.ask(ms(3), &informed, &[], &mut rng), None);
     let due = bootstrap.next_due(false);
     assert!(due <= ms(20), "{due:?}");
--- a/crates/direct/src/process/news.rs
+++ b/crates/direct/src/process/news.rs
@@ -97,7 +97,7 @@
             PullOutcome::Received(handover) => handover,
             PullOutcome::Refused => {
                 self.counts.pull_refusals += 1;
-                self.bootstrap.refused(now, rand::rng().random_range(0.0..1.0));
+                self.bootstrap.handle_refusal(now, rand::rng().random_range(0.0..1.0));
                 return;
             }
             PullOutcome::Failed => {
