--- a/crates/core/src/direct/bootstrap.rs
+++ b/crates/core/src/direct/bootstrap.rs
@@ -102,7 +102,7 @@
     }
 
     /// Tells whether to read the store now; `rank` counts the known instances that go before this one.
-    pub fn reads_store(&mut self, now: Timestamp, rank: u32, duty: &WatcherRole) -> bool {
+    pub fn should_read_store(&mut self, now: Timestamp, rank: u32, duty: &WatcherRole) -> bool {
         let turn = (TURN * (rank / self.readers)).min(LAST_TURN);
         let slow_link_wait = if rank > 0 && self.slow_link { SLOW_LINK_WAIT } else { Duration::ZERO };
         let due = self.read_after + turn + slow_link_wait;
--- a/crates/core/tests/direct/bootstrap.rs
+++ b/crates/core/tests/direct/bootstrap.rs
@@ -24,7 +24,7 @@
 /// Returns when an instance first reads the store that hears of no watcher.
 fn first_read(bootstrap: &mut Bootstrap, rank: u32) -> Timestamp {
     let duty = WatcherRole::new(Timestamp::ZERO);
-    (0..10_000).map(ms).find(|now| bootstrap.reads_store(*now, rank, &duty)).unwrap()
+    (0..10_000).map(ms).find(|now| bootstrap.should_read_store(*now, rank, &duty)).unwrap()
 }
 
 /// All instances lose power, and each comes back to find nobody. Callers wait, so each reads the store at once.
@@ -117,6 +117,6 @@
     let mut duty = WatcherRole::new(Timestamp::ZERO);
     let announcement = Announcement { revision: 5, age: ms(1), leaving: false };
     duty.receive(ms(10), 7, &announcement, true);
-    let read = (0..10_000).map(ms).find(|now| bootstrap.reads_store(*now, 3, &duty)).unwrap();
+    let read = (0..10_000).map(ms).find(|now| bootstrap.should_read_store(*now, 3, &duty)).unwrap();
     assert!(read > ms(1_900) && read < ms(2_200), "{read:?}");
 }
--- a/crates/direct/src/process/news.rs
+++ b/crates/direct/src/process/news.rs
@@ -158,7 +158,7 @@
         if let Some(peer) = self.bootstrap.ask(now, &informed, &others, &mut rand::rng()) {
             self.pull(peer);
         }
-        if self.bootstrap.reads_store(now, self.fleet.rank(), self.fleet.watcher_role()) {
+        if self.bootstrap.should_read_store(now, self.fleet.rank(), self.fleet.watcher_role()) {
             self.fleet.watcher_role_mut().begin(now);
             self.order(RoleChange::Begin);
         }
