--- a/crates/core/src/backoff.rs
+++ b/crates/core/src/backoff.rs
@@ -2,11 +2,11 @@
 
 use std::time::Duration;
 
-/// Most doublings: beyond them every limit in use is reached, and the factor still fits its type.
+/// Maximum number of doublings. More would reach every limit in use anyway, and the factor still fits in its type.
 const MAX_DOUBLINGS: u32 = 16;
 
-/// Returns a time that begins at `first` and is doubled so many times, up to `longest`.
+/// Returns `initial` doubled `doublings` times, up to `max`.
 #[must_use]
-pub(crate) fn doubled(first: Duration, times: u32, longest: Duration) -> Duration {
-    first.saturating_mul(1 << times.min(MAX_DOUBLINGS)).min(longest)
+pub(crate) fn doubled(initial: Duration, doublings: u32, max: Duration) -> Duration {
+    initial.saturating_mul(1 << doublings.min(MAX_DOUBLINGS)).min(max)
 }
--- a/crates/core/src/direct/directory.rs
+++ b/crates/core/src/direct/directory.rs
@@ -1,7 +1,7 @@
-//! What is known of routes, targets and failure domains, by the store's revisions.
+//! Routes, targets and failure domains as known from the store, versioned by the store's revisions.
 //!
-//! A target outlives its entry here: its flows go on for as long as it serves them, which may be long after the store
-//! has dropped the entry, and a packet whose cookie nobody knows any more would be a broken flow.
+//! A target is kept after its entry is removed. It continues to serve its open flows, possibly long after the store
+//! dropped the entry, and a packet whose cookie is unknown would break its flow.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -11,7 +11,7 @@
 use serde::Serialize;
 
 use crate::Timestamp;
-use crate::direct::routes::Learned;
+use crate::direct::routes::ApplyOutcome;
 use crate::direct::routes::Routes;
 use crate::direct::segment::Cookie;
 use crate::direct::store_entries::Delta;
@@ -25,42 +25,42 @@
 use hawthornshift_model::Revision;
 use hawthornshift_model::TargetId;
 
-/// Time for which a target whose entry is missing stays known, at the least: flows live for up to a minute, and a
-/// target that leaves serves them to their end.
-const REMEMBER: Duration = Duration::from_secs(90);
-/// Time for which a target may still be placed on after its entry went missing without a word of draining.
+/// Minimum time for which a target is kept after its entry went missing. Flows live for up to a minute, and a target
+/// that leaves serves them to their end.
+const TARGET_RETENTION: Duration = Duration::from_secs(90);
+/// Time for which a target may receive new flows after its entry went missing without being marked as draining.
 ///
-/// Entries lapse while the store is out of reach of their writers, and are back within two seconds if the targets
-/// live. Without this, an outage of the store would empty the directory of targets that work.
-const LAPSE_GRACE: Duration = Duration::from_secs(2);
+/// Entries expire while their writers cannot reach the store, and are back within two seconds if the targets are alive.
+/// Without this grace period, an outage of the store would remove working targets from the directory.
+const EXPIRED_ENTRY_GRACE: Duration = Duration::from_secs(2);
 
-/// Whether a target's entry allows new flows.
+/// State of a target's entry, which determines whether the target may receive new flows.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 pub enum EntryState {
-    /// It serves.
+    /// The entry exists and the target serves.
     Listed,
-    /// It is about to leave.
+    /// The target is about to leave.
     Draining,
-    /// Its entry is missing since then.
+    /// The entry has been missing since the given time.
     Missing(Timestamp),
 }
 
-/// One target.
+/// A target and what is known of it.
 #[derive(Clone, Debug, Serialize)]
 pub struct Target {
-    /// Its id.
+    /// Id of the target.
     pub id: TargetId,
-    /// Revision of what is known of it.
+    /// Revision of the latest entry, or of its removal.
     pub revision: Revision,
-    /// What its latest entry said.
+    /// Contents of the latest entry.
     #[serde(rename = "facts")]
     pub spec: TargetSpec,
-    /// Whether it may get new flows.
+    /// Whether the entry exists and allows new flows.
     #[serde(rename = "standing")]
     pub entry_state: EntryState,
-    /// When it stops being cold.
+    /// End of the target's slow start.
     pub cold_until: Timestamp,
-    /// When this instance first knew of this start of it.
+    /// When this instance first learned of this start of the target.
     pub known_since: Timestamp,
 }
 
@@ -71,93 +71,94 @@
         cookie(self.id)
     }
 
-    /// Tells whether the target's entry allows new flows.
+    /// Returns whether the target's entry allows new flows.
     #[must_use]
     pub fn takes_flows(&self, now: Timestamp) -> bool {
         match self.entry_state {
             EntryState::Listed => true,
             EntryState::Draining => false,
-            EntryState::Missing(since) => !self.spec.draining && now.saturating_sub(since) < LAPSE_GRACE,
+            EntryState::Missing(since) => !self.spec.draining && now.saturating_sub(since) < EXPIRED_ENTRY_GRACE,
         }
     }
 
-    /// Tells whether the target is in slow start.
+    /// Returns whether the target is in slow start.
     #[must_use]
     pub fn is_cold(&self, now: Timestamp) -> bool {
         now < self.cold_until
     }
 }
 
-/// Returns the cookie that stands for a target: the low half of its id, which zero never is.
+/// Returns the cookie of a target: the low half of its id, with zero mapped to one because zero is not a valid cookie.
 #[must_use]
 pub fn cookie(id: TargetId) -> Cookie {
     let low = Cookie::try_from(id & u64::from(Cookie::MAX)).unwrap_or(Cookie::MAX);
     low.max(1)
 }
 
-/// Everything that the store says, as far as it is known here.
+/// Local copy of the store's contents.
 #[derive(Clone, Debug, Default)]
 pub struct Directory {
     revision: Revision,
-    /// Revision below which entries that went missing may have been forgotten here.
-    forgotten: Revision,
-    whole: bool,
+    /// Revision below which removed entries may have been discarded here.
+    discarded_up_to: Revision,
+    has_snapshot: bool,
     routes: Option<Routes>,
-    /// Revision of the latest difference that could not be applied, until its configuration is known in another way.
-    gap: Option<Revision>,
+    /// Revision of the latest configuration difference that could not be applied, until that configuration or a later
+    /// one is known.
+    unapplied_revision: Option<Revision>,
     targets: BTreeMap<TargetId, Target>,
     by_cookie: Map<Cookie, TargetId>,
     by_service: BTreeMap<String, Vec<TargetId>>,
     domains: BTreeMap<String, (Revision, bool)>,
-    /// When this instance learned that a domain is taken out.
+    /// When this instance learned that a domain is evacuated.
     evacuated_since: BTreeMap<String, Timestamp>,
 }
 
 impl Directory {
-    /// Returns the revision that the directory is complete up to.
+    /// Returns the revision up to which the directory is complete.
     #[must_use]
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// Tells whether a whole picture with a configuration has been seen; before that nothing may be concluded from
-    /// the absence of a route or a target.
+    /// Returns whether a full snapshot with a configuration has been received. Before that, the absence of a route or
+    /// target does not mean that it does not exist.
     #[must_use]
     pub fn is_synced(&self) -> bool {
-        self.whole && self.routes.is_some()
+        self.has_snapshot && self.routes.is_some()
     }
 
-    /// Returns the revision from which on to ask for news; zero when everything is wanted.
+    /// Returns the revision to fetch changes from; zero to fetch a full snapshot.
     #[must_use]
     pub fn fetch_since(&self) -> Revision {
-        if self.is_synced() && self.gap.is_none() { self.revision } else { 0 }
+        if self.is_synced() && self.unapplied_revision.is_none() { self.revision } else { 0 }
     }
 
-    /// Returns the version of the configuration in force; zero before the first.
+    /// Returns the version of the active configuration; zero before the first.
     #[must_use]
     pub fn version(&self) -> u64 {
         self.routing().map_or(0, |routing| routing.version)
     }
 
-    /// Returns the configuration in force.
+    /// Returns the active configuration.
     #[must_use]
     pub fn routing(&self) -> Option<&Routing> {
         self.routes.as_ref().map(Routes::routing)
     }
 
-    /// Returns the route to an address and port.
+    /// Returns the route for an address and port.
     #[must_use]
     pub fn route(&self, address: SocketAddrV4) -> Option<&Route> {
         self.routes.as_ref().and_then(|routes| routes.route(address))
     }
 
-    /// Returns a target, also one whose entry is gone.
+    /// Returns a target, including one whose entry was removed.
     #[must_use]
     pub fn target(&self, id: TargetId) -> Option<&Target> {
         self.targets.get(&id)
     }
 
-    /// Tells whether another target has taken over the address of one whose entry is gone.
+    /// Returns whether another target has taken over the address of one whose entry was removed.
     #[must_use]
     pub fn is_replaced(&self, id: TargetId) -> bool {
         let Some(former) = self.targets.get(&id) else { return false };
@@ -168,30 +169,30 @@
         listed.any(|target| target.spec.address == former.spec.address)
     }
 
-    /// Returns all targets that are known.
+    /// Returns all known targets.
     pub fn targets(&self) -> impl Iterator<Item = &Target> {
         self.targets.values()
     }
 
-    /// Returns the target that a cookie stands for.
+    /// Returns the target that a cookie identifies.
     #[must_use]
     pub fn by_cookie(&self, cookie: Cookie) -> Option<&Target> {
         self.by_cookie.get(&cookie).and_then(|id| self.targets.get(id))
     }
 
-    /// Returns the targets of a service that may get new flows, cold ones included.
+    /// Returns the targets of a service that may receive new flows, including those in slow start.
     pub fn candidates(&self, now: Timestamp, service: &str) -> impl Iterator<Item = &Target> {
         let ids = self.by_service.get(service).into_iter().flatten();
         ids.filter_map(|id| self.targets.get(id)).filter(move |target| self.is_candidate(now, target))
     }
 
-    /// Tells whether any target of a service is known.
+    /// Returns whether any target of a service is known.
     #[must_use]
     pub fn has_service(&self, service: &str) -> bool {
         self.by_service.contains_key(service)
     }
 
-    /// Returns the targets of all services that may get new flows, cold ones included.
+    /// Returns the targets of all services that may receive new flows, including those in slow start.
     pub fn all_candidates(&self, now: Timestamp) -> impl Iterator<Item = &Target> {
         self.targets.values().filter(move |target| self.is_candidate(now, target))
     }
@@ -199,90 +200,94 @@
     fn is_candidate(&self, now: Timestamp, target: &Target) -> bool {
         target.takes_flows(now)
             && !self.is_evacuated(&target.spec.failure_domain)
-            // Of two ids with one cookie only the one that the cookie leads back to can be served.
+            // If two ids share a cookie, only the target that the cookie resolves to can be served.
             && self.by_cookie.get(&target.cookie()) == Some(&target.id)
     }
 
-    /// Returns how long a target's service stays cold after a start.
+    /// Returns the slow start duration of a target's service.
     #[must_use]
     pub fn cold_time(&self, target: TargetId) -> Duration {
         let service = self.targets.get(&target).map(|target| target.spec.service.as_str());
         let services = self.routing().map(|routing| routing.services.as_slice()).unwrap_or_default();
-        let facts = services.iter().find(|facts| Some(facts.name.as_str()) == service);
-        facts.map_or(Duration::ZERO, |facts| facts.cold_time)
+        let service_spec = services.iter().find(|spec| Some(spec.name.as_str()) == service);
+        service_spec.map_or(Duration::ZERO, |spec| spec.cold_time)
     }
 
-    /// Tells whether a failure domain is taken out.
+    /// Returns whether a failure domain is evacuated.
     #[must_use]
     pub fn is_evacuated(&self, domain: &str) -> bool {
         self.domains.get(domain).is_some_and(|(_, evacuated)| *evacuated)
     }
 
-    /// Returns since when this instance knows that a failure domain is taken out.
+    /// Returns when this instance learned that a failure domain is evacuated, or `None` if it is not.
     #[must_use]
     pub fn evacuated_since(&self, domain: &str) -> Option<Timestamp> {
         self.evacuated_since.get(domain).copied()
     }
 
-    /// Takes over what is newer than what is known, and tells whether anything was.
+    /// Applies everything in `delta` that is newer than the local state, and returns whether anything changed.
     pub fn apply(&mut self, now: Timestamp, delta: &Delta) -> bool {
         let mut changed = false;
         let mut complete = true;
-        let mut named = BTreeSet::new();
+        let mut present = BTreeSet::new();
         for versioned in &delta.entries {
             if delta.is_snapshot {
-                named.extend(key(&versioned.entry));
+                present.extend(entry_key(&versioned.entry));
             }
-            let learned = self.learn(now, versioned);
-            changed |= learned == Learned::New;
-            complete &= learned != Learned::Gap;
+            let outcome = self.apply_entry(now, versioned);
+            changed |= outcome == ApplyOutcome::Applied;
+            complete &= outcome != ApplyOutcome::BaseMismatch;
         }
-        self.gap = self.gap.filter(|gap| self.routes.as_ref().is_none_or(|routes| routes.revision() < *gap));
+        self.unapplied_revision = self.unapplied_revision.filter(|unapplied_revision| {
+            self.routes.as_ref().is_none_or(|routes| routes.revision() < *unapplied_revision)
+        });
         if delta.is_snapshot {
-            changed |= self.drop_unnamed(now, delta.revision, &named);
+            changed |= self.mark_absent_missing(now, delta.revision, &present);
         }
-        // A gap holds back only the news that it is in. One that follows the store itself would else be stuck at an old
-        // revision for good, and those who hear it announced would never notice what they have missed.
-        if delta.is_snapshot || (self.whole && complete && delta.since <= self.revision) {
-            self.whole = true;
+        // A difference that cannot be applied holds back only the revision of the delta that contains it. Otherwise an
+        // instance that follows the store itself would remain at an old revision forever, and the instances that
+        // receive its announcements would never detect what they missed.
+        if delta.is_snapshot || (self.has_snapshot && complete && delta.since <= self.revision) {
+            self.has_snapshot = true;
             self.revision = self.revision.max(delta.revision);
         }
-        changed |= self.forget(now);
+        changed |= self.remove_expired(now);
         if changed {
             self.index();
         }
         changed
     }
 
-    fn learn(&mut self, now: Timestamp, versioned: &VersionedEntry) -> Learned {
+    fn apply_entry(&mut self, now: Timestamp, versioned: &VersionedEntry) -> ApplyOutcome {
         let revision = versioned.revision;
         let new = match &versioned.entry {
-            StoreEntry::Target(id, Some(facts)) => self.learn_target(now, revision, *id, facts),
-            StoreEntry::Target(id, None) => self.learn_missing(now, revision, *id),
-            StoreEntry::Left(id, facts) => self.learn_left(now, revision, *id, facts),
-            StoreEntry::Evacuated(domain, evacuated) => self.learn_domain(now, revision, domain, *evacuated),
-            StoreEntry::Routing(routing) => return self.learn_routing(revision, routing),
-            StoreEntry::RoutingChange(change) => return self.learn_change(revision, change),
+            StoreEntry::Target(id, Some(spec)) => self.apply_target(now, revision, *id, spec),
+            StoreEntry::Target(id, None) => self.mark_missing(now, revision, *id),
+            StoreEntry::RemovedTarget(id, spec) => self.apply_removed_target(now, revision, *id, spec),
+            StoreEntry::Evacuated(domain, evacuated) => self.apply_domain(now, revision, domain, *evacuated),
+            StoreEntry::Routing(routing) => return self.apply_routing(revision, routing),
+            StoreEntry::RoutingChange(change) => return self.apply_routing_change(revision, change),
         };
-        if new { Learned::New } else { Learned::Known }
+        if new { ApplyOutcome::Applied } else { ApplyOutcome::AlreadyKnown }
     }
 
-    fn learn_target(&mut self, now: Timestamp, revision: Revision, id: TargetId, facts: &TargetSpec) -> bool {
+    fn apply_target(&mut self, now: Timestamp, revision: Revision, id: TargetId, spec: &TargetSpec) -> bool {
         let known = self.targets.get(&id);
         if known.is_some_and(|target| target.revision >= revision) {
             return false;
         }
-        let same_start = known.filter(|target| target.spec.started_at_ms == facts.started_at_ms);
+        let same_start = known.filter(|target| target.spec.started_at_ms == spec.started_at_ms);
         let known_since = same_start.map_or(now, |target| target.known_since);
-        let standing = if facts.draining { EntryState::Draining } else { EntryState::Listed };
-        // The entry was written before it is read, so counting its time from now never ends it too early.
-        let cold_until = if facts.cold_for.is_zero() { Timestamp::ZERO } else { now + facts.cold_for };
-        let facts = facts.clone();
-        self.targets.insert(id, Target { id, revision, spec: facts, entry_state: standing, cold_until, known_since });
+        let entry_state = if spec.draining { EntryState::Draining } else { EntryState::Listed };
+        // The entry was written before it is read, so counting its remaining slow start from now never ends it too
+        // early.
+        let cold_until = if spec.cold_for.is_zero() { Timestamp::ZERO } else { now + spec.cold_for };
+        let spec = spec.clone();
+        self.targets.insert(id, Target { id, revision, spec, entry_state, cold_until, known_since });
         true
     }
 
-    fn learn_missing(&mut self, now: Timestamp, revision: Revision, id: TargetId) -> bool {
+    fn mark_missing(&mut self, now: Timestamp, revision: Revision, id: TargetId) -> bool {
         let Some(target) = self.targets.get_mut(&id).filter(|target| target.revision < revision) else { return false };
         target.revision = revision;
         if !matches!(target.entry_state, EntryState::Missing(_)) {
@@ -291,20 +296,20 @@
         true
     }
 
-    /// Takes over what a peer remembers of a target that is gone from the store.
-    fn learn_left(&mut self, now: Timestamp, revision: Revision, id: TargetId, facts: &TargetSpec) -> bool {
+    /// Applies what a peer remembers of a target whose entry was removed from the store.
+    fn apply_removed_target(&mut self, now: Timestamp, revision: Revision, id: TargetId, spec: &TargetSpec) -> bool {
         if self.targets.contains_key(&id) {
-            return self.learn_missing(now, revision, id);
+            return self.mark_missing(now, revision, id);
         }
-        // Not known since when, so it gets no new flows: the grace for entries that lapse may be over.
-        let facts = TargetSpec { draining: true, ..facts.clone() };
-        let (standing, cold_until) = (EntryState::Missing(now), Timestamp::ZERO);
-        self.targets
-            .insert(id, Target { id, revision, spec: facts, entry_state: standing, cold_until, known_since: now });
+        // It is unknown when the entry was removed, so the target gets no new flows: the grace period for expired
+        // entries may be over.
+        let spec = TargetSpec { draining: true, ..spec.clone() };
+        let (entry_state, cold_until) = (EntryState::Missing(now), Timestamp::ZERO);
+        self.targets.insert(id, Target { id, revision, spec, entry_state, cold_until, known_since: now });
         true
     }
 
-    fn learn_domain(&mut self, now: Timestamp, revision: Revision, domain: &str, evacuated: bool) -> bool {
+    fn apply_domain(&mut self, now: Timestamp, revision: Revision, domain: &str, evacuated: bool) -> bool {
         let known = self.domains.get(domain).copied();
         if known.is_some_and(|(known, _)| known >= revision) {
             return false;
@@ -313,64 +318,69 @@
         if evacuated {
             self.evacuated_since.entry(domain.to_owned()).or_insert(now);
         } else if self.evacuated_since.remove(domain).is_some() {
-            self.chill(now, domain);
+            self.mark_domain_cold(now, domain);
         }
         true
     }
 
-    /// Counts the targets of a failure domain that comes back as cold, whatever their entries say.
+    /// Puts the targets of a failure domain that returns into slow start, regardless of their entries.
     ///
-    /// They have idled, and an entry that tells of it may arrive after the word that the domain is back. Sent their
-    /// full share in between, they would fall over.
-    fn chill(&mut self, now: Timestamp, domain: &str) {
-        let inside = self.targets.values().filter(|target| target.spec.failure_domain == domain);
-        let inside: Vec<(TargetId, Duration)> = inside.map(|target| (target.id, self.cold_time(target.id))).collect();
-        for (id, cold_time) in inside {
+    /// They have been idle, and an entry that reports the slow start may arrive after the end of the evacuation. With
+    /// their full share of traffic in between, they would be overloaded.
+    fn mark_domain_cold(&mut self, now: Timestamp, domain: &str) {
+        let domain_targets = self.targets.values().filter(|target| target.spec.failure_domain == domain);
+        let domain_targets: Vec<(TargetId, Duration)> =
+            domain_targets.map(|target| (target.id, self.cold_time(target.id))).collect();
+        for (id, cold_time) in domain_targets {
             if let Some(target) = self.targets.get_mut(&id) {
                 target.cold_until = target.cold_until.max(now + cold_time);
             }
         }
     }
 
-    fn learn_routing(&mut self, revision: Revision, routing: &Routing) -> Learned {
+    fn apply_routing(&mut self, revision: Revision, routing: &Routing) -> ApplyOutcome {
         if let Some(routes) = &mut self.routes {
             return routes.replace(revision, routing);
         }
         self.routes = Some(Routes::new(revision, routing.clone()));
-        Learned::New
+        ApplyOutcome::Applied
     }
 
-    fn learn_change(&mut self, revision: Revision, change: &RoutingChange) -> Learned {
-        let learned = self.routes.as_mut().map_or(Learned::Gap, |routes| routes.change(revision, change));
-        if learned == Learned::Gap {
-            self.gap = self.gap.max(Some(revision));
+    fn apply_routing_change(&mut self, revision: Revision, change: &RoutingChange) -> ApplyOutcome {
+        let outcome =
+            self.routes.as_mut().map_or(ApplyOutcome::BaseMismatch, |routes| routes.apply_difference(revision, change));
+        if outcome == ApplyOutcome::BaseMismatch {
+            self.unapplied_revision = self.unapplied_revision.max(Some(revision));
         }
-        learned
+        outcome
     }
 
-    /// Counts as missing what a whole picture does not name.
-    fn drop_unnamed(&mut self, now: Timestamp, revision: Revision, named: &BTreeSet<Key>) -> bool {
-        let gone: Vec<TargetId> =
-            self.targets.keys().copied().filter(|id| !named.contains(&Key::Target(*id))).collect();
+    /// Marks the targets that a full snapshot does not contain as missing, and ends the evacuations that it does not
+    /// contain.
+    fn mark_absent_missing(&mut self, now: Timestamp, revision: Revision, present: &BTreeSet<EntryKey>) -> bool {
+        let absent: Vec<TargetId> =
+            self.targets.keys().copied().filter(|id| !present.contains(&EntryKey::Target(*id))).collect();
         let mut changed = false;
-        for id in gone {
-            changed |= self.learn_missing(now, revision, id);
+        for id in absent {
+            changed |= self.mark_missing(now, revision, id);
         }
-        let back: Vec<String> =
+        let evacuated_domains: Vec<String> =
             self.domains.iter().filter(|(_, (_, evacuated))| *evacuated).map(|(d, _)| d.clone()).collect();
-        for domain in back.into_iter().filter(|domain| !named.contains(&Key::Domain(domain.clone()))) {
-            changed |= self.learn_domain(now, revision, &domain, false);
+        for domain in
+            evacuated_domains.into_iter().filter(|domain| !present.contains(&EntryKey::Domain(domain.clone())))
+        {
+            changed |= self.apply_domain(now, revision, &domain, false);
         }
         changed
     }
 
-    /// Forgets targets that have been missing for longer than any flow of theirs may live.
-    fn forget(&mut self, now: Timestamp) -> bool {
-        let old = |target: &Target| matches!(target.entry_state, EntryState::Missing(since) if now.saturating_sub(since) > REMEMBER);
+    /// Removes targets that have been missing for longer than any of their flows may live.
+    fn remove_expired(&mut self, now: Timestamp) -> bool {
+        let is_expired = |target: &Target| matches!(target.entry_state, EntryState::Missing(since) if now.saturating_sub(since) > TARGET_RETENTION);
         let before = self.targets.len();
-        let newest = self.targets.values().filter(|target| old(target)).map(|target| target.revision).max();
-        self.targets.retain(|_, target| !old(target));
-        self.forgotten = self.forgotten.max(newest.unwrap_or(0));
+        let newest = self.targets.values().filter(|target| is_expired(target)).map(|target| target.revision).max();
+        self.targets.retain(|_, target| !is_expired(target));
+        self.discarded_up_to = self.discarded_up_to.max(newest.unwrap_or(0));
         self.targets.len() != before
     }
 
@@ -383,56 +393,63 @@
         }
     }
 
-    /// Returns what has changed since a revision; everything when that cannot be told any more.
+    /// Returns what has changed since a revision, or a full snapshot if that is no longer known.
     #[must_use]
     pub fn delta_since(&self, now: Timestamp, since: Revision) -> Delta {
-        let whole = since == 0 || since < self.forgotten;
-        let since = if whole { 0 } else { since };
-        let targets =
-            self.targets.values().map(|target| VersionedEntry { revision: target.revision, entry: told(now, target) });
+        let is_snapshot = since == 0 || since < self.discarded_up_to;
+        let since = if is_snapshot { 0 } else { since };
+        let targets = self
+            .targets
+            .values()
+            .map(|target| VersionedEntry { revision: target.revision, entry: entry_for_peer(now, target) });
         let domains = self.domains.iter().map(|(domain, (revision, evacuated))| VersionedEntry {
             revision: *revision,
             entry: StoreEntry::Evacuated(domain.clone(), *evacuated),
         });
-        let routing = self.routes.iter().filter_map(|routes| routes.told_since(since));
-        let facts = targets.chain(domains).chain(routing).filter(|versioned| versioned.revision > since);
-        Delta { since, revision: self.revision, is_snapshot: whole && self.whole, entries: facts.collect() }
+        let routing = self.routes.iter().filter_map(|routes| routes.entry_since(since));
+        let entries = targets.chain(domains).chain(routing).filter(|versioned| versioned.revision > since);
+        Delta {
+            since,
+            revision: self.revision,
+            is_snapshot: is_snapshot && self.has_snapshot,
+            entries: entries.collect(),
+        }
     }
 
-    /// Returns news of the store as it is told to peers, after it was applied here: of a configuration only what has
-    /// changed.
+    /// Returns a delta of the store in the form sent to peers, after it was applied here: a configuration is reduced to
+    /// its differences.
     #[must_use]
     pub fn delta_for_peers(&self, delta: &Delta) -> Delta {
-        let retell = |versioned: &VersionedEntry| match (&versioned.entry, &self.routes) {
-            // Of several that came at once only the last is in force.
+        let convert = |versioned: &VersionedEntry| match (&versioned.entry, &self.routes) {
+            // If a delta contains several configurations, only the latest is active.
             (StoreEntry::Routing(_), Some(routes)) if versioned.revision < routes.revision() => None,
-            (StoreEntry::Routing(_), Some(routes)) => routes.told_since(delta.since),
+            (StoreEntry::Routing(_), Some(routes)) => routes.entry_since(delta.since),
             _ => Some(versioned.clone()),
         };
-        Delta { entries: delta.entries.iter().filter_map(retell).collect(), ..*delta }
+        Delta { entries: delta.entries.iter().filter_map(convert).collect(), ..*delta }
     }
 }
 
-/// Returns a target as it is told to a peer: its cold time counts from now.
-fn told(now: Timestamp, target: &Target) -> StoreEntry {
+/// Returns a target's entry as sent to a peer, with the remaining slow start counted from now.
+fn entry_for_peer(now: Timestamp, target: &Target) -> StoreEntry {
     if matches!(target.entry_state, EntryState::Missing(_)) {
-        return StoreEntry::Left(target.id, target.spec.clone());
+        return StoreEntry::RemovedTarget(target.id, target.spec.clone());
     }
     let cold_for = target.cold_until.saturating_sub(now);
     StoreEntry::Target(target.id, Some(TargetSpec { cold_for, ..target.spec.clone() }))
 }
 
-/// What a whole picture names.
+/// Identifies an entry of a full snapshot.
 #[derive(Debug, Eq, Ord, PartialEq, PartialOrd)]
-enum Key {
+enum EntryKey {
     Target(TargetId),
     Domain(String),
 }
 
-fn key(fact: &StoreEntry) -> Option<Key> {
-    match fact {
-        StoreEntry::Target(id, _) | StoreEntry::Left(id, _) => Some(Key::Target(*id)),
-        StoreEntry::Evacuated(domain, _) => Some(Key::Domain(domain.clone())),
+fn entry_key(entry: &StoreEntry) -> Option<EntryKey> {
+    match entry {
+        StoreEntry::Target(id, _) | StoreEntry::RemovedTarget(id, _) => Some(EntryKey::Target(*id)),
+        StoreEntry::Evacuated(domain, _) => Some(EntryKey::Domain(domain.clone())),
         StoreEntry::Routing(_) | StoreEntry::RoutingChange(_) => None,
     }
 }
--- a/crates/core/src/direct/fleet/change_log.rs
+++ b/crates/core/src/direct/fleet/change_log.rs
@@ -1,7 +1,7 @@
-//! Which instances have come and gone since the last log line.
+//! Rate-limited summary of membership changes for the log.
 //!
-//! A whole fleet that starts or dies brings a change for each member at each instance. A line for each would be most of
-//! what is written in just the seconds that an engineer wants to read, so there is one a second that sums them up.
+//! When a whole fleet starts or fails, every instance sees a change for each member. One log line per change would
+//! flood the log exactly when an engineer needs to read it, so at most one line per second sums them up.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -9,23 +9,23 @@
 use crate::Timestamp;
 use hawthornshift_model::InstanceId;
 
-/// Shortest time between two lines.
-const LINE_PERIOD: Duration = Duration::from_secs(1);
+/// Minimum time between two log lines.
+const MIN_LOG_PERIOD: Duration = Duration::from_secs(1);
 
-/// Changes of who serves between two log lines.
+/// Changes to the set of serving instances since the previous log line.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ChangeSummary {
-    /// How many instances served at the last line.
+    /// Number of instances that served at the previous log line.
     pub before: usize,
-    /// How many serve now.
+    /// Number of instances that serve now.
     pub serving: usize,
-    /// Those that serve now and did not then.
+    /// Instances that serve now but did not at the previous log line.
     pub joined: Vec<InstanceId>,
-    /// Those that served then and do not now.
+    /// Instances that served at the previous log line but no longer do.
     pub left: Vec<InstanceId>,
 }
 
-/// Who served when the last line was written, and who does now.
+/// The serving instances as last logged and as currently known.
 #[derive(Clone, Debug, Default)]
 pub struct ChangeLog {
     logged: BTreeSet<InstanceId>,
@@ -34,17 +34,17 @@
 }
 
 impl ChangeLog {
-    /// Notes who serves.
+    /// Records the instances that serve now.
     pub fn note(&mut self, serving: &[InstanceId]) {
         self.serving = serving.iter().copied().collect();
     }
 
-    /// Returns what to write now, if there is anything and a line may be written.
+    /// Returns the changes to log, or `None` if nothing changed or the previous line was logged less than a second ago.
     pub fn due(&mut self, now: Timestamp) -> Option<ChangeSummary> {
         if now < self.next_line || self.logged == self.serving {
             return None;
         }
-        self.next_line = now + LINE_PERIOD;
+        self.next_line = now + MIN_LOG_PERIOD;
         let before = std::mem::replace(&mut self.logged, self.serving.clone());
         Some(ChangeSummary {
             before: before.len(),
--- a/crates/core/src/direct/fleet/mod.rs
+++ b/crates/core/src/direct/fleet/mod.rs
@@ -1,13 +1,13 @@
-//! The other instances: who serves, who watches the store, who is told of open work.
+//! The other instances: which of them serve, which one watches the store, and which exchange load reports.
 //!
-//! Built on the product's [`Membership`]; what is added is the watch duty and the exchange of news.
+//! Adds the store watcher role and the exchange of store updates to the product's [`Membership`].
 //!
-//! - `view_sync` paces the comparison of views.
-//! - `store_news` is the way of the store's news from the watcher to all.
-//! - `change_log` sums up for the log who has come and gone.
+//! - `view_sync` limits how often instances compare their views.
+//! - `store_updates` distributes the watcher's store updates to all instances.
+//! - `change_log` summarizes membership changes for the log.
 
 mod change_log;
-mod store_news;
+mod store_updates;
 mod view_sync;
 
 use std::collections::VecDeque;
@@ -21,8 +21,8 @@
 
 pub use self::change_log::ChangeLog;
 pub use self::change_log::ChangeSummary;
-use self::store_news::Behind;
-use self::view_sync::MAX_PARTS;
+use self::store_updates::PendingFetch;
+use self::view_sync::MAX_VIEW_PARTS;
 use self::view_sync::ViewSync;
 use crate::Timestamp;
 use crate::direct::load_report::LoadReport;
@@ -48,212 +48,217 @@
 use hawthornshift_model::InstanceId;
 use hawthornshift_model::Revision;
 
-/// Instances up to which all tell each other of open work; beyond it only those of one failure domain do.
+/// Largest fleet, in instances, that forms a single load report group; in larger fleets each failure domain is its own
+/// group.
 ///
-/// Each note costs a datagram to every member of the group. At 9 instances and 375 flows a second that is 0.3 MB/s in
-/// all; it grows with the square of the group.
-const WHOLE_FLEET_GROUP: usize = 16;
-/// Time between two rounds of pings to the seeds until a peer answers.
-const SEED_PERIOD: Duration = Duration::from_millis(100);
-/// Most seeds asked in one round; the platform names three at the most.
-const MAX_SEEDS: usize = 8;
-/// Time between two heartbeats to members. Several times the product's usual rate: an instance that joins or leaves
-/// moves nearly all flows to others, which then count on each other's word.
+/// Each report costs a datagram to every member of the group. At 9 instances and 375 flows per second that is 0.3 MB/s
+/// in total, and it grows with the square of the group size.
+const MAX_SINGLE_GROUP_SIZE: usize = 16;
+/// Time between two rounds of pings to the seeds until a peer responds.
+const SEED_PING_PERIOD: Duration = Duration::from_millis(100);
+/// Maximum number of seeds pinged per round; the platform lists at most three.
+const MAX_SEED_PINGS: usize = 8;
+/// Time between two pings to members. This is several times faster than the product's default: an instance that joins
+/// or leaves moves nearly all flows to other instances, which then rely on each other's reports.
 const PING_PERIOD: Duration = Duration::from_millis(250);
-/// Time after which a heartbeat is tried through others.
+/// Time without an ack after which a ping is retried through other instances.
 const PING_TIMEOUT: Duration = Duration::from_millis(150);
-/// Time for which a silent member is suspected before it counts as dead.
-const SUSPICION: Duration = Duration::from_secs(1);
-/// Time for which a view is trusted without word from any peer.
-const LEASE: Duration = Duration::from_millis(900);
-/// Shortest time between two changes of the instances that are told to the rest of the process. A whole fleet that starts
-/// brings hundreds of changes, each of which would else be worked through by all that depend on who serves.
-const CHANGE_PERIOD: Duration = Duration::from_millis(50);
-/// Members that hear from an instance that it ends; heartbeats tell the others.
-const MAX_LAST_WORDS: usize = 32;
-/// Informed instances that are remembered: enough that those which start together do not all ask the same few.
-const MAX_INFORMED: usize = 16;
-/// Key by which instances are ranked for the watch duty.
-const WATCH_KEY: u64 = 0x77_61_74_63_68;
-
-/// What the fleet wants done.
+/// Time for which an unresponsive member stays suspected before it is declared dead.
+const SUSPICION_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time for which the membership view is trusted without a message from any peer.
+const VIEW_LEASE: Duration = Duration::from_millis(900);
+/// Minimum time between two notifications of the rest of the process that the serving instances changed. A whole fleet
+/// that starts brings hundreds of changes, and each notification makes everything that depends on the serving instances
+/// recompute its state.
+const MIN_CHANGE_PERIOD: Duration = Duration::from_millis(50);
+/// Maximum number of members that are notified directly when this instance shuts down; the others learn of it from
+/// heartbeats.
+const MAX_DEPARTURE_NOTICES: usize = 32;
+/// Maximum number of up-to-date peers that are remembered. It is large enough that instances which start together do
+/// not all contact the same few peers.
+const MAX_UP_TO_DATE_PEERS: usize = 16;
+/// Key of the rendezvous hash that ranks instances for the watcher role.
+const WATCHER_RANK_KEY: u64 = 0x77_61_74_63_68;
+
+/// An action that the fleet requests from the process.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FleetEffect {
     /// Send a datagram to several instances.
     Send(Vec<SocketAddr>, Frame),
-    /// Begin or stop watching the store.
+    /// Start or stop watching the store.
     RoleChange(RoleChange),
-    /// An announcement has confirmed that nothing newer is known.
+    /// An announcement confirmed that no newer revision is known.
     UpToDate,
-    /// Fetch everything newer than what is known from an instance.
+    /// Fetch everything newer than the local revision from an instance.
     Pull(SocketAddr),
-    /// Take over news of the store.
+    /// Apply a delta of the store.
     ApplyDelta(Arc<Delta>),
-    /// Take over a load report.
+    /// Apply a load report.
     ApplyLoadReport(LoadReport),
-    /// The instances that serve have changed.
+    /// The set of serving instances changed.
     Changed,
 }
 
-/// State of this instance's dealings with the others.
+/// This instance's view of the other instances and its part in the protocol between them.
 #[derive(Clone, Debug)]
 pub struct Fleet {
     membership: Membership,
     watcher_role: WatcherRole,
     rng: SmallRng,
     next_seed_ping: Timestamp,
-    contact: bool,
-    started: Timestamp,
-    /// When an instance of another failure domain was last heard; `None` before the first.
-    heard_elsewhere: Option<Timestamp>,
-    /// Instances that know what the store says, as they have said of late, the latest last.
+    has_contact: bool,
+    started_at: Timestamp,
+    /// When the last message from another failure domain arrived; `None` before the first.
+    last_remote_domain_message: Option<Timestamp>,
+    /// Peers that recently reported a store revision, most recent last.
     up_to_date_peers: VecDeque<SocketAddr>,
-    /// The latest revision that a peer told of and that is not known here, if there is one.
-    behind: Option<Behind>,
+    /// The highest revision that a peer announced and that is not known here yet, if any.
+    pending_fetch: Option<PendingFetch>,
     view_sync: ViewSync,
-    /// Whether the instances have changed since the rest of the process was told.
-    changed: bool,
-    next_change: Timestamp,
-    /// Until when nothing is passed on, since the process was paused and what it reads may be old.
-    no_relay_until: Timestamp,
+    /// Whether the set of serving instances changed since the rest of the process was last notified.
+    change_pending: bool,
+    next_change_at: Timestamp,
+    /// Until when nothing is relayed: the process was paused, so received messages may be old.
+    relay_paused_until: Timestamp,
 }
 
 impl Fleet {
-    /// Starts at a time with the addresses of a few instances that may live.
+    /// Creates the state at `now`, with the addresses of a few instances that may be running.
     #[must_use]
     pub fn new(now: Timestamp, identity: Identity, seeds: &[SocketAddr]) -> Self {
         let tuning = Tuning::default().ping_period(PING_PERIOD).ping_timeout(PING_TIMEOUT);
-        let tuning = tuning.suspicion(SUSPICION).lease(LEASE);
+        let tuning = tuning.suspicion(SUSPICION_TIMEOUT).lease(VIEW_LEASE);
         let rng = SmallRng::seed_from_u64(u64::from(identity.id) ^ identity.incarnation);
         let mut membership = Membership::new(identity, tuning);
-        membership.apply_instance_list(now, &list(seeds));
+        membership.apply_instance_list(now, &seed_list(seeds));
         Self {
             membership,
             watcher_role: WatcherRole::new(now),
             rng,
             next_seed_ping: now,
-            contact: false,
-            started: now,
-            heard_elsewhere: None,
+            has_contact: false,
+            started_at: now,
+            last_remote_domain_message: None,
             up_to_date_peers: VecDeque::new(),
-            behind: None,
+            pending_fetch: None,
             view_sync: ViewSync::default(),
-            changed: false,
-            next_change: now,
-            no_relay_until: Timestamp::ZERO,
+            change_pending: false,
+            next_change_at: now,
+            relay_paused_until: Timestamp::ZERO,
         }
     }
 
-    /// Returns the watch duty.
+    /// Returns the watcher role.
     #[must_use]
     pub fn watcher_role(&self) -> &WatcherRole {
         &self.watcher_role
     }
 
-    /// Returns the watch duty to be told of the store's answers.
+    /// Returns the watcher role mutably, for reporting the store's answers to it.
     pub fn watcher_role_mut(&mut self) -> &mut WatcherRole {
         &mut self.watcher_role
     }
 
-    /// Returns the other instances as they are known.
+    /// Returns the other instances as they are known here.
     pub fn members(&self) -> impl Iterator<Item = &MemberUpdate> {
         self.membership.members()
     }
 
-    /// Returns the numbers of the instances that serve, this one included.
+    /// Returns the ids of the serving instances, including this one.
     #[must_use]
     pub fn serving(&self) -> Vec<InstanceId> {
-        self.membership.serving().map(|(seat, _)| seat.id).collect()
+        self.membership.serving().map(|(instance, _)| instance.id).collect()
     }
 
-    /// Tells whether other failure domains can be reached, as far as is known here: their instances have been heard of
-    /// late, or there are none.
+    /// Returns whether other failure domains are reachable as far as this instance can tell: it recently received a
+    /// message from one, or there are none.
     ///
-    /// One that has just started waits for a first word. If it counted on what it has not heard of, it alone would draw
-    /// all callers back to a failure domain that can serve nobody.
+    /// An instance that has just started waits for a first message. If it assumed that domains it has not heard from
+    /// are reachable, it alone would attract all callers back to a failure domain that cannot serve anyone.
     #[must_use]
     pub fn reaches_other_domains(&self, now: Timestamp) -> bool {
-        if now.saturating_sub(self.heard_elsewhere.unwrap_or(self.started)) < REMOTE_SILENCE_LIMIT {
-            return self.heard_elsewhere.is_some();
+        if now.saturating_sub(self.last_remote_domain_message.unwrap_or(self.started_at)) < REMOTE_SILENCE_LIMIT {
+            return self.last_remote_domain_message.is_some();
         }
         let domain = &self.membership.me().failure_domain;
-        // The seeds' domains are not known before they answer.
+        // The failure domains of the seeds are unknown until they respond.
         !self.membership.members().any(|member| member.failure_domain != *domain && !member.failure_domain.is_empty())
     }
 
-    /// Tells whether the whole fleet tells each other of open work.
+    /// Returns whether the whole fleet forms a single load report group.
     #[must_use]
     pub fn is_one_group(&self) -> bool {
-        self.membership.serving().count() <= WHOLE_FLEET_GROUP
+        self.membership.serving().count() <= MAX_SINGLE_GROUP_SIZE
     }
 
-    /// Returns the numbers of the instances that tell each other of open work, this one included.
+    /// Returns the ids of the instances in this instance's load report group, including this one.
     #[must_use]
     pub fn group_ids(&self) -> Vec<InstanceId> {
-        let whole = self.is_one_group();
+        let one_group = self.is_one_group();
         let domain = &self.membership.me().failure_domain;
-        let inside = self.membership.serving().filter(|(_, of)| whole || of == domain);
-        inside.map(|(seat, _)| seat.id).collect()
+        let group_members =
+            self.membership.serving().filter(|(_, failure_domain)| one_group || failure_domain == domain);
+        group_members.map(|(instance, _)| instance.id).collect()
     }
 
-    /// Returns where load reports go.
+    /// Returns the addresses that load reports are sent to.
     #[must_use]
     pub fn group(&self) -> Vec<SocketAddr> {
-        let whole = self.is_one_group();
+        let one_group = self.is_one_group();
         let domain = &self.membership.me().failure_domain;
         let alive = self.membership.members().filter(|member| member.state.is_reachable());
-        alive.filter(|member| whole || member.failure_domain == *domain).map(|member| member.control).collect()
+        alive.filter(|member| one_group || member.failure_domain == *domain).map(|member| member.control).collect()
     }
 
-    /// Returns instances that know what the store says.
+    /// Returns the addresses of peers that know the store's contents.
     #[must_use]
     pub fn up_to_date_peers(&self) -> Vec<SocketAddr> {
         self.up_to_date_peers.iter().copied().collect()
     }
 
-    /// Returns all instances that seem to live.
+    /// Returns the addresses of all instances that appear to be alive.
     #[must_use]
     pub fn reachable(&self) -> Vec<SocketAddr> {
         self.membership.reachable().map(|member| member.control).collect()
     }
 
-    fn note_informed(&mut self, address: SocketAddr) {
+    fn record_up_to_date_peer(&mut self, address: SocketAddr) {
         self.up_to_date_peers.retain(|known| *known != address);
         self.up_to_date_peers.push_back(address);
-        if self.up_to_date_peers.len() > MAX_INFORMED {
+        if self.up_to_date_peers.len() > MAX_UP_TO_DATE_PEERS {
             self.up_to_date_peers.pop_front();
         }
     }
 
-    /// Declares this instance to be leaving.
+    /// Marks this instance as leaving.
     pub fn leave(&mut self, now: Timestamp) {
         self.membership.leave();
         self.watcher_role.leave(now);
     }
 
-    /// Returns the last word to all members before the process ends.
+    /// Returns the final messages to members before the process exits.
     pub fn depart(&mut self) -> Vec<FleetEffect> {
         self.membership.depart();
-        let (serving, view) = (self.count(), self.membership.digest().whole());
+        let (serving, view) = (self.serving_count(), self.membership.digest().combined_hash());
         let last = Heartbeat { sequence: 0, serving, view, revision: 0, age: Duration::ZERO, members: Vec::new() };
         let members = self.membership.reachable().map(|member| member.control);
-        let addresses = members.choose_multiple(&mut self.rng, MAX_LAST_WORDS);
-        if addresses.is_empty() { Vec::new() } else { vec![self.frame_for(addresses, Message::Ack(last))] }
+        let addresses = members.choose_multiple(&mut self.rng, MAX_DEPARTURE_NOTICES);
+        if addresses.is_empty() { Vec::new() } else { vec![self.send_to(addresses, Message::Ack(last))] }
     }
 
-    /// Takes over the members that a peer has handed over to this instance when it started.
+    /// Adds the members received from a peer during startup.
     pub fn add_members(&mut self, now: Timestamp, members: &[MemberUpdate]) -> Vec<FleetEffect> {
         self.membership.merge_updates(now, members);
-        self.changes(now).into_iter().collect()
+        self.poll_changes(now).into_iter().collect()
     }
 
-    /// Returns the other instances for one that has just started.
+    /// Returns the other instances, for a peer that has just started.
     #[must_use]
     pub fn handover(&self) -> Vec<MemberUpdate> {
         self.membership.handover()
     }
 
-    /// Takes in a datagram.
+    /// Handles a datagram received from another instance.
     pub fn frame(&mut self, now: Timestamp, frame: Frame, revision: Revision) -> Vec<FleetEffect> {
         let (sender, message) = match frame {
             Frame::LoadReport(report) => return vec![FleetEffect::ApplyLoadReport(report)],
@@ -262,17 +267,17 @@
         if sender.id == self.membership.me().id {
             return Vec::new();
         }
-        self.contact = true;
+        self.has_contact = true;
         if sender.failure_domain != self.membership.me().failure_domain {
-            self.heard_elsewhere = Some(now);
+            self.last_remote_domain_message = Some(now);
         }
         self.membership.message_received(now, &sender);
-        let mut effects = self.message(now, &sender, message, revision);
-        effects.extend(self.changes(now));
+        let mut effects = self.handle_message(now, &sender, message, revision);
+        effects.extend(self.poll_changes(now));
         effects
     }
 
-    fn message(
+    fn handle_message(
         &mut self,
         now: Timestamp,
         sender: &MemberUpdate,
@@ -282,47 +287,53 @@
         let from = sender.id;
         match message {
             Message::Ping(heartbeat) => {
-                let view = self.absorb(now, sender, &heartbeat, revision);
+                let view = self.merge_heartbeat(now, sender, &heartbeat, revision);
                 let answer = self.heartbeat(now, from, heartbeat.sequence, revision, view);
-                let answer = self.to(from, Message::Ack(answer));
+                let answer = self.send_to_member(from, Message::Ack(answer));
                 answer.into_iter().chain(self.compare_views(now, from, &heartbeat, view)).collect()
             }
             Message::Ack(heartbeat) => {
-                let view = self.absorb(now, sender, &heartbeat, revision);
-                let signal = self.membership.acknowledged(now, heartbeat.sequence, from);
-                let signal = signal.and_then(|signal| self.signal(now, signal, revision));
-                signal.into_iter().chain(self.compare_views(now, from, &heartbeat, view)).collect()
+                let view = self.merge_heartbeat(now, sender, &heartbeat, revision);
+                let probe = self.membership.acknowledged(now, heartbeat.sequence, from);
+                let probe = probe.and_then(|probe| self.probe_effect(now, probe, revision));
+                probe.into_iter().chain(self.compare_views(now, from, &heartbeat, view)).collect()
             }
             Message::ViewRequest(theirs) => self.answer_view_request(now, from, &theirs),
             Message::ViewPart(members) => {
-                self.absorb_view(now, &members);
+                self.merge_view_part(now, &members);
                 Vec::new()
             }
             Message::IndirectPing { sequence, subject } => {
                 self.membership.merge_update(now, &subject);
-                let signal = self.membership.ping_for(now, subject.id, from, sequence);
-                signal.into_iter().filter_map(|signal| self.signal(now, signal, revision)).collect()
+                let probe = self.membership.ping_for(now, subject.id, from, sequence);
+                probe.into_iter().filter_map(|probe| self.probe_effect(now, probe, revision)).collect()
             }
             Message::IndirectAck { sequence, subject } => {
                 self.membership.acknowledged_indirectly(now, sequence, subject);
                 Vec::new()
             }
-            Message::StoreUpdate(news) => self.store_news(now, sender, &news, revision),
+            Message::StoreUpdate(update) => self.handle_store_update(now, sender, &update, revision),
         }
     }
 
-    /// Takes over what a heartbeat brings, and tells how its sender's view compares to the one here.
-    fn absorb(&mut self, now: Timestamp, sender: &MemberUpdate, heartbeat: &Heartbeat, revision: Revision) -> PeerView {
+    /// Merges the contents of a heartbeat and returns how the sender's view compares to the local one.
+    fn merge_heartbeat(
+        &mut self,
+        now: Timestamp,
+        sender: &MemberUpdate,
+        heartbeat: &Heartbeat,
+        revision: Revision,
+    ) -> PeerView {
         self.membership.merge_updates(now, &heartbeat.members);
         if heartbeat.revision > 0 {
-            self.note_informed(sender.control);
-            self.watcher_role.hear_of(now, heartbeat.age);
+            self.record_up_to_date_peer(sender.control);
+            self.watcher_role.receive_heartbeat_age(now, heartbeat.age);
         }
-        self.note_behind(now, heartbeat.revision, sender.control, revision);
-        if heartbeat.view == self.membership.digest().whole() { PeerView::Same } else { PeerView::Differs }
+        self.schedule_fetch(now, heartbeat.revision, sender.control, revision);
+        if heartbeat.view == self.membership.digest().combined_hash() { PeerView::Same } else { PeerView::Differs }
     }
 
-    /// Asks a peer whose view differs for what is unknown here, if it is time to.
+    /// Requests the differences from a peer whose view differs, if a request is due.
     fn compare_views(
         &mut self,
         now: Timestamp,
@@ -330,41 +341,41 @@
         heartbeat: &Heartbeat,
         view: PeerView,
     ) -> Option<FleetEffect> {
-        let ours = self.count();
-        let asks = self.view_sync.asks_sender(now, view, heartbeat.serving, ours);
-        asks.then(|| self.view_request(from)).flatten()
+        let ours = self.serving_count();
+        let should_request = self.view_sync.should_request_from_sender(now, view, heartbeat.serving, ours);
+        should_request.then(|| self.view_request(from)).flatten()
     }
 
     fn view_request(&self, to: InstanceId) -> Option<FleetEffect> {
-        self.to(to, Message::ViewRequest(self.membership.digest()))
+        self.send_to_member(to, Message::ViewRequest(self.membership.digest()))
     }
 
-    /// Asks any member for what is unknown here, while a whole fleet is getting to know itself.
-    fn ask_for_view(&mut self, now: Timestamp) -> Option<FleetEffect> {
-        if !self.view_sync.asks_anybody(now) {
+    /// Requests missing members from a random member while a starting fleet is still discovering its members.
+    fn request_view_from_any(&mut self, now: Timestamp) -> Option<FleetEffect> {
+        if !self.view_sync.should_request_from_any(now) {
             return None;
         }
         let to = self.membership.reachable().map(|member| member.id).choose(&mut self.rng)?;
         self.view_request(to)
     }
 
-    fn absorb_view(&mut self, now: Timestamp, members: &[MemberUpdate]) {
+    fn merge_view_part(&mut self, now: Timestamp, members: &[MemberUpdate]) {
         let before = self.membership.digest();
         self.membership.merge_updates(now, members);
         if self.membership.digest() != before {
-            self.view_sync.gained();
+            self.view_sync.progress_made();
         }
     }
 
     fn answer_view_request(&mut self, now: Timestamp, from: InstanceId, theirs: &ViewDigest) -> Vec<FleetEffect> {
-        if !self.view_sync.answers(now) {
+        if !self.view_sync.should_answer(now) {
             return Vec::new();
         }
-        let parts = self.membership.missing(&mut self.rng, theirs, MAX_PARTS);
-        parts.into_iter().filter_map(|part| self.to(from, Message::ViewPart(part))).collect()
+        let parts = self.membership.missing(&mut self.rng, theirs, MAX_VIEW_PARTS);
+        parts.into_iter().filter_map(|part| self.send_to_member(from, Message::ViewPart(part))).collect()
     }
 
-    fn count(&self) -> u32 {
+    fn serving_count(&self) -> u32 {
         u32::try_from(self.membership.serving().count()).unwrap_or(u32::MAX)
     }
 
@@ -377,85 +388,85 @@
         view: PeerView,
     ) -> Heartbeat {
         let members = self.membership.piggyback_updates(to, view);
-        let (serving, view) = (self.count(), self.membership.digest().whole());
+        let (serving, view) = (self.serving_count(), self.membership.digest().combined_hash());
         Heartbeat { sequence, serving, view, revision, age: self.watcher_role.age(now), members }
     }
 
-    fn to(&self, to: InstanceId, message: Message) -> Option<FleetEffect> {
+    fn send_to_member(&self, to: InstanceId, message: Message) -> Option<FleetEffect> {
         let address = self.membership.member(to)?.control;
-        Some(self.frame_for(vec![address], message))
+        Some(self.send_to(vec![address], message))
     }
 
-    fn frame_for(&self, addresses: Vec<SocketAddr>, message: Message) -> FleetEffect {
+    fn send_to(&self, addresses: Vec<SocketAddr>, message: Message) -> FleetEffect {
         FleetEffect::Send(addresses, Frame::WithSender { sender: self.membership.me().clone(), message })
     }
 
-    fn signal(&mut self, now: Timestamp, signal: ProbeMessage, revision: Revision) -> Option<FleetEffect> {
-        match signal {
+    fn probe_effect(&mut self, now: Timestamp, probe: ProbeMessage, revision: Revision) -> Option<FleetEffect> {
+        match probe {
             ProbeMessage::Ping { to, sequence } => {
-                let beat = self.heartbeat(now, to, sequence, revision, PeerView::Unknown);
-                self.to(to, Message::Ping(beat))
+                let heartbeat = self.heartbeat(now, to, sequence, revision, PeerView::Unknown);
+                self.send_to_member(to, Message::Ping(heartbeat))
             }
             ProbeMessage::IndirectPing { to, sequence, subject } => {
                 let subject = self.membership.member(subject)?.clone();
-                self.to(to, Message::IndirectPing { sequence, subject })
+                self.send_to_member(to, Message::IndirectPing { sequence, subject })
             }
             ProbeMessage::IndirectAck { to, sequence, subject } => {
-                self.to(to, Message::IndirectAck { sequence, subject })
+                self.send_to_member(to, Message::IndirectAck { sequence, subject })
             }
         }
     }
 
-    fn changes(&mut self, now: Timestamp) -> Option<FleetEffect> {
-        self.changed |= !self.membership.take_changes().is_empty();
+    fn poll_changes(&mut self, now: Timestamp) -> Option<FleetEffect> {
+        self.change_pending |= !self.membership.take_changes().is_empty();
         if self.membership.superseded() {
-            self.membership.outlive();
+            self.membership.raise_incarnation();
         }
-        // Nothing here is void because others counted this instance as dead for a while.
+        // No local state needs to be discarded when peers declared this instance dead for a while.
         let _ = self.membership.take_declared_dead();
-        if !self.changed || now < self.next_change {
+        if !self.change_pending || now < self.next_change_at {
             return None;
         }
-        self.changed = false;
-        self.next_change = now + CHANGE_PERIOD;
+        self.change_pending = false;
+        self.next_change_at = now + MIN_CHANGE_PERIOD;
         Some(FleetEffect::Changed)
     }
 
-    /// Does what is due: heartbeats, the watch duty, announcements.
+    /// Performs the periodic work: pings, the watcher role and announcements.
     pub fn tick(&mut self, now: Timestamp, revision: Revision) -> Vec<FleetEffect> {
         let mut effects = Vec::new();
-        if !self.contact && now >= self.next_seed_ping {
-            self.next_seed_ping = now + SEED_PERIOD;
-            let signals = self.membership.refresh(now, &mut self.rng, MAX_SEEDS);
-            effects.extend(signals.into_iter().filter_map(|signal| self.signal(now, signal, revision)));
+        if !self.has_contact && now >= self.next_seed_ping {
+            self.next_seed_ping = now + SEED_PING_PERIOD;
+            let probes = self.membership.refresh(now, &mut self.rng, MAX_SEED_PINGS);
+            effects.extend(probes.into_iter().filter_map(|probe| self.probe_effect(now, probe, revision)));
         }
-        let signals = self.membership.tick(now, &mut self.rng);
-        effects.extend(signals.into_iter().filter_map(|signal| self.signal(now, signal, revision)));
-        effects.extend(self.catch_up(now, revision));
-        effects.extend(self.ask_for_view(now));
+        let probes = self.membership.tick(now, &mut self.rng);
+        effects.extend(probes.into_iter().filter_map(|probe| self.probe_effect(now, probe, revision)));
+        effects.extend(self.due_fetch(now, revision));
+        effects.extend(self.request_view_from_any(now));
         effects.extend(self.watcher_role.tick(now, self.rank()).map(FleetEffect::RoleChange));
         if let Some(announcement) = self.watcher_role.announcement(now, revision) {
-            effects.extend(self.tell_everybody(announcement, revision, None));
+            effects.extend(self.broadcast(announcement, revision, None));
         }
-        effects.extend(self.changes(now));
+        effects.extend(self.poll_changes(now));
         effects
     }
 
-    /// Returns how many instances that serve go before this one for the watch duty.
+    /// Returns the number of live instances that precede this one in the ranking for the watcher role.
     #[must_use]
     pub fn rank(&self) -> u32 {
-        let mine = rank_key(self.membership.me().id);
+        let own_key = rank_key(self.membership.me().id);
         let alive = self.membership.members().filter(|member| member.state == MemberState::Alive);
-        u32::try_from(alive.filter(|member| rank_key(member.id) > mine).count()).unwrap_or(u32::MAX)
+        u32::try_from(alive.filter(|member| rank_key(member.id) > own_key).count()).unwrap_or(u32::MAX)
     }
 }
 
-/// Returns what instances are ranked by for the watch duty; the highest goes first.
+/// Returns the key by which instances are ranked for the watcher role; the highest ranks first.
 fn rank_key(id: InstanceId) -> (u64, InstanceId) {
-    (rendezvous::score(WATCH_KEY, u64::from(id)), id)
+    (rendezvous::score(WATCHER_RANK_KEY, u64::from(id)), id)
 }
 
-/// Returns the number of the instance at an address.
+/// Returns the id of the instance at an address: the lowest 32 bits of its IP address.
 #[must_use]
 pub fn instance_id(address: SocketAddr) -> InstanceId {
     match address {
@@ -467,7 +478,7 @@
     }
 }
 
-fn list(seeds: &[SocketAddr]) -> InstanceList {
+fn seed_list(seeds: &[SocketAddr]) -> InstanceList {
     let instances = seeds.iter().map(|&address| ListedInstance {
         id: instance_id(address),
         failure_domain: String::new(),
--- a/crates/core/src/direct/fleet/view_sync.rs
+++ b/crates/core/src/direct/fleet/view_sync.rs
@@ -1,98 +1,111 @@
-//! When an instance asks another one for what its own view lacks, and how often it answers.
+//! Rate limits for requesting and answering view comparisons.
 //!
-//! News on heartbeats settles single changes within a second, so a difference is asked about only once it has lasted, or
-//! when the peer knows of many more. The load that the limits answer: a whole fleet starts and all ask the few that they
-//! know, whose links would be full for seconds if each got everything at once.
+//! Updates piggybacked on heartbeats propagate single changes within a second, so an instance requests the differences
+//! only once they have persisted, or when the peer knows many more members. The limits bound the load when a whole
+//! fleet starts: all instances then query the few that they know, whose links would be saturated for seconds if each
+//! request were answered in full at once.
 
 use std::time::Duration;
 
 use crate::Timestamp;
 use crate::membership::PeerView;
 
-/// Most messages that answer one request: about a hundred members, enough to have others to ask.
-pub(super) const MAX_PARTS: usize = 4;
-/// Time for which a difference is left to the news on heartbeats.
-const SETTLE: Duration = Duration::from_millis(300);
+/// Maximum number of messages that answer one request. They hold about a hundred members, enough to know other peers to
+/// query next.
+pub(super) const MAX_VIEW_PARTS: usize = 4;
+/// Time that a difference must persist before it is requested, to let piggybacked updates resolve it.
+const SETTLE_TIME: Duration = Duration::from_millis(300);
 /// Time between two requests.
-const PERIOD: Duration = Duration::from_millis(500);
-/// The same while peers know of many more members, doubled after each request that brought nothing.
-const HURRIED_PERIOD: Duration = Duration::from_millis(100);
-/// Members that a peer must count more for a request to be hurried: more than news of a moment accounts for.
-const MANY_MORE: u32 = 3;
-/// Requests answered in one window. Of 4 messages each they take 0.8 MB/s, a third of a link of 20 Mbit/s.
-const ANSWERS: u32 = 16;
-/// Length of the window.
-const WINDOW: Duration = Duration::from_millis(100);
+const REQUEST_PERIOD: Duration = Duration::from_millis(500);
+/// Initial time between two requests while peers know many more members; it is doubled after each request that brought
+/// nothing new.
+const INITIAL_FAST_PERIOD: Duration = Duration::from_millis(100);
+/// Number of additional members that a peer must report for requests to be accelerated. It is larger than the
+/// difference that updates still in flight account for.
+const FAST_MEMBER_DEFICIT: u32 = 3;
+/// Maximum number of requests answered per window. With 4 messages each they take 0.8 MB/s, a third of a 20 Mbit/s
+/// link.
+const MAX_ANSWERS_PER_WINDOW: u32 = 16;
+/// Length of the window in which answers are counted.
+const ANSWER_WINDOW: Duration = Duration::from_millis(100);
 
-/// Requests made and answered of late.
+/// State of the requests made and answered recently.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ViewSync {
-    /// Since when every peer that was heard has had another view.
+    /// Since when every heartbeat received reported a different view.
     differs_since: Option<Timestamp>,
-    /// Whether a peer has counted many more members, and none with the same view has been heard since.
-    hurried: bool,
-    asked: Option<Timestamp>,
-    hurried_period: Duration,
+    /// Whether a peer reported many more members, and no peer with the same view has been seen since.
+    fast: bool,
+    last_request: Option<Timestamp>,
+    fast_period: Duration,
     window_ends: Timestamp,
-    answered: u32,
+    answers_in_window: u32,
 }
 
 impl Default for ViewSync {
     fn default() -> Self {
         Self {
             differs_since: None,
-            hurried: false,
-            asked: None,
-            hurried_period: HURRIED_PERIOD,
+            fast: false,
+            last_request: None,
+            fast_period: INITIAL_FAST_PERIOD,
             window_ends: Timestamp::ZERO,
-            answered: 0,
+            answers_in_window: 0,
         }
     }
 }
 
 impl ViewSync {
-    /// Tells whether to ask a peer that has just been heard, by its view and how many members it and this instance count.
-    pub(super) fn asks_sender(&mut self, now: Timestamp, view: PeerView, theirs: u32, ours: u32) -> bool {
+    /// Returns whether to send a request to a peer whose heartbeat has just arrived, given how its view compares and
+    /// the number of serving members that it and this instance count.
+    pub(super) fn should_request_from_sender(
+        &mut self,
+        now: Timestamp,
+        view: PeerView,
+        theirs: u32,
+        ours: u32,
+    ) -> bool {
         if view == PeerView::Same {
             self.differs_since = None;
-            self.hurried = false;
+            self.fast = false;
             return false;
         }
         let since = *self.differs_since.get_or_insert(now);
-        self.hurried |= theirs >= ours + MANY_MORE;
-        let settled = now.saturating_sub(since) >= SETTLE;
-        self.asks_anybody(now) || (settled && self.is_due(now, PERIOD))
+        self.fast |= theirs >= ours + FAST_MEMBER_DEFICIT;
+        let settled = now.saturating_sub(since) >= SETTLE_TIME;
+        self.should_request_from_any(now) || (settled && self.try_start_request(now, REQUEST_PERIOD))
     }
 
-    /// Tells whether to ask any member, since much is unknown here.
-    pub(super) fn asks_anybody(&mut self, now: Timestamp) -> bool {
-        let asks = self.hurried && self.is_due(now, self.hurried_period);
-        if asks {
-            self.hurried_period = (self.hurried_period * 2).min(PERIOD);
+    /// Returns whether to send a request to an arbitrary member, because many members are unknown here.
+    pub(super) fn should_request_from_any(&mut self, now: Timestamp) -> bool {
+        let should_request = self.fast && self.try_start_request(now, self.fast_period);
+        if should_request {
+            self.fast_period = (self.fast_period * 2).min(REQUEST_PERIOD);
         }
-        asks
+        should_request
     }
 
-    /// Notes that an answer has brought something new, so that more is likely to come.
-    pub(super) fn gained(&mut self) {
-        self.hurried_period = HURRIED_PERIOD;
+    /// Records that an answer brought new members, so that more are likely to follow.
+    pub(super) fn progress_made(&mut self) {
+        self.fast_period = INITIAL_FAST_PERIOD;
     }
 
-    fn is_due(&mut self, now: Timestamp, period: Duration) -> bool {
-        let due = self.asked.is_none_or(|asked| now.saturating_sub(asked) >= period);
+    fn try_start_request(&mut self, now: Timestamp, period: Duration) -> bool {
+        let due = self.last_request.is_none_or(|last_request| now.saturating_sub(last_request) >= period);
         if due {
-            self.asked = Some(now);
+            self.last_request = Some(now);
         }
         due
     }
 
-    /// Tells whether to answer a request that has come now; one that is not answered goes to another peer soon.
-    pub(super) fn answers(&mut self, now: Timestamp) -> bool {
+    /// Returns whether to answer a request received at `now`. A peer whose request is not answered soon retries with
+    /// another instance.
+    pub(super) fn should_answer(&mut self, now: Timestamp) -> bool {
         if now >= self.window_ends {
-            self.window_ends = now + WINDOW;
-            self.answered = 0;
+            self.window_ends = now + ANSWER_WINDOW;
+            self.answers_in_window = 0;
         }
-        self.answered += 1;
-        self.answered <= ANSWERS
+        self.answers_in_window += 1;
+        self.answers_in_window <= MAX_ANSWERS_PER_WINDOW
     }
 }
--- a/crates/core/src/direct/load_report.rs
+++ b/crates/core/src/direct/load_report.rs
@@ -1,11 +1,11 @@
-//! What instances of a group tell each other of open requests and of targets that seem not to answer.
+//! Load reports: the instances of a group share their open requests and the targets that appear unresponsive.
 //!
-//! One datagram a turn of the process carries all that the turn brought, so its cost follows the rate of what is reported
-//! and not the number of decisions. Nothing is confirmed or repeated: a lost report makes a target look one request fuller
-//! or emptier for a second at most.
+//! Each iteration of the event loop sends one report with everything it produced, so the cost follows the rate of
+//! reported events and not the number of decisions. Reports are not acknowledged or retransmitted: a lost report makes
+//! a target appear to have one request more or fewer for at most a second.
 //!
-//! Which requests are reported is decided in [`open_requests`](crate::direct::open_requests): those that could change another instance's
-//! choice.
+//! [`open_requests`](crate::direct::open_requests) decides which requests are reported: those that could change another
+//! instance's choice.
 
 use std::time::Duration;
 
@@ -15,18 +15,18 @@
 use crate::direct::segment::Cookie;
 use crate::direct::segment::FlowHash;
 
-/// Most entries of each kind in one datagram, which keeps it below 1,200 bytes.
+/// Maximum number of entries in one datagram, which keeps it below 1,200 bytes.
 pub const MAX_ENTRIES: usize = 90;
 
-/// A request that a target works on.
+/// A request that a target is processing.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct OpenRequest {
-    /// Its flow.
+    /// The request's flow.
     pub flow: FlowHash,
-    /// Its target.
+    /// The request's target.
     pub target: Cookie,
-    /// How long it has been open, in milliseconds.
+    /// Time since the request was opened, in milliseconds.
     pub age_ms: u16,
 }
 
@@ -34,58 +34,59 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct AnsweredRequest {
-    /// Its flow.
+    /// The request's flow.
     pub flow: FlowHash,
-    /// Requests that its target has answered since the sender's last report on it and that were never reported: without
-    /// this number a target would seem as slow as the slowest of its requests.
+    /// Number of unreported requests that the target has answered since the sender's last report on it. Without this
+    /// count a target would appear as slow as its slowest requests.
     pub unreported: u16,
 }
 
-/// A target of whose answers one looked like a failure.
+/// A target that returned an answer that looked like a failure.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct FailedRequest {
     /// The target.
     pub target: Cookie,
-    /// Requests that it has answered since the sender's last report on it and that were never reported.
+    /// Number of unreported requests that the target has answered since the sender's last report on it.
     pub unreported: u16,
 }
 
-/// News of one turn.
+/// Everything that one iteration of the event loop reports.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct LoadReport {
-    /// Requests that targets work on.
+    /// Requests that targets are processing.
     pub started: Vec<OpenRequest>,
     /// Requests that have been answered.
     pub ended: Vec<AnsweredRequest>,
-    /// Flows of whose request nothing is expected here any more. No sign of life of their targets: were they told as
-    /// answered, a dead target would seem to live by all the flows that it does not answer.
+    /// Flows whose request is no longer expected to be answered here. They are not evidence that their targets are
+    /// alive: if they were reported as answered, a dead target would appear alive because of all the flows that it does
+    /// not answer.
     pub abandoned: Vec<FlowHash>,
-    /// Targets of whose answers one looked like a failure.
+    /// Targets that returned an answer that looked like a failure.
     pub failed: Vec<FailedRequest>,
-    /// Targets that have been set aside since an answer of theirs is overdue.
+    /// Targets that have been ejected because an answer is overdue.
     pub overdue: Vec<Cookie>,
-    /// Targets of whose overdue answers one has come after all.
+    /// Targets that have returned an overdue answer after all.
     pub answered_overdue: Vec<Cookie>,
-    /// Targets that seem not to answer, and how long to avoid each.
+    /// Targets that appear unresponsive, and how long to avoid each.
     pub avoid: Vec<(Cookie, Duration)>,
-    /// Failure domains whose targets seem not to answer, and how long to avoid each.
+    /// Failure domains whose targets appear unresponsive, and how long to avoid each.
     pub avoid_domains: Vec<(String, Duration)>,
-    /// Failure domains that were suspected and have answered just now.
+    /// Failure domains that were suspected and have just answered.
     pub alive_domains: Vec<String>,
-    /// Targets that the sender could not reach; some of the others should check them.
+    /// Targets that the sender could not reach and that some of the other instances should check.
     pub unreachable: Vec<Cookie>,
-    /// The same, in answer to another instance.
+    /// Targets that the sender could not reach when it checked them for another instance.
     pub confirmed: Vec<Cookie>,
-    /// Targets that somebody suspects and that have answered here just now.
+    /// Suspected targets that have just answered the sender.
     pub alive: Vec<Cookie>,
-    /// Targets that answer again after a silence, and how long they count as cold.
+    /// Targets that respond again after having been unresponsive, and how long to treat each as cold.
     pub recovered: Vec<(Cookie, Duration)>,
 }
 
-/// Generates what has to be done for each list of a report, so that none can be forgotten.
-macro_rules! lists {
+/// Implements the operations that cover every list of a report, so that none can be omitted.
+macro_rules! impl_list_methods {
     ($($list:ident,)*) => {
         impl LoadReport {
             fn len(&self) -> usize {
@@ -105,7 +106,7 @@
     };
 }
 
-lists! {
+impl_list_methods! {
     started,
     ended,
     abandoned,
@@ -122,13 +123,13 @@
 }
 
 impl LoadReport {
-    /// Tells whether there is nothing to tell.
+    /// Returns whether the report has no entries.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Splits the report into parts that fit a datagram each.
+    /// Splits the report into parts that each fit in a datagram.
     #[must_use]
     pub fn parts(self) -> Vec<Self> {
         if self.len() <= MAX_ENTRIES { vec![self] } else { self.split() }
--- a/crates/core/src/direct/message.rs
+++ b/crates/core/src/direct/message.rs
@@ -1,4 +1,4 @@
-//! What instances say to each other on the direct path.
+//! Messages between instances on the direct path.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,41 +19,41 @@
 use hawthornshift_model::Revision;
 use hawthornshift_model::TargetId;
 
-/// Most bytes of a datagram: below what Ethernet carries whole.
+/// Maximum size of a datagram, in bytes; less than an Ethernet frame carries without fragmentation.
 pub const MAX_DATAGRAM_BYTES: usize = 1_400;
 
 /// A datagram between instances.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub enum Frame {
-    /// A message whose sender introduces itself, so that one never heard of becomes known.
+    /// A message with a description of its sender, so that the recipient learns of senders that it did not know.
     WithSender {
-        /// The sender as it sees itself.
+        /// The sender's own description of itself.
         sender: MemberUpdate,
-        /// What it says.
+        /// The message.
         message: Message,
     },
-    /// A load report: the most frequent message, and so without an introduction.
+    /// A load report. It is the most frequent message and therefore carries no sender description.
     LoadReport(LoadReport),
 }
 
-/// What a datagram is for, as it is counted.
+/// Category of a datagram, as used in metrics.
 #[derive(Clone, Copy, Debug, EnumCount, EnumIter, Eq, IntoStaticStr, PartialEq)]
 #[strum(serialize_all = "kebab-case")]
 pub enum FrameKind {
-    /// Signs of life, with news of members.
+    /// Pings and acks with piggybacked member updates.
     Heartbeat,
-    /// Comparisons of views.
+    /// View comparisons.
     View,
-    /// News of the store.
+    /// Store updates.
     #[strum(serialize = "store-news")]
     StoreUpdate,
-    /// Open work of targets.
+    /// Load reports.
     LoadReport,
 }
 
 impl Frame {
-    /// Returns what the datagram is for.
+    /// Returns the category of the datagram.
     #[must_use]
     pub fn kind(&self) -> FrameKind {
         match self {
@@ -69,92 +69,92 @@
     }
 }
 
-/// What an instance says with an introduction.
+/// A message that is sent with a sender description.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub enum Message {
-    /// Asks for a sign of life.
+    /// Requests an ack.
     Ping(Heartbeat),
-    /// Answers a ping.
+    /// Acknowledges a ping.
     Ack(Heartbeat),
-    /// Asks a third instance to ping one that did not answer.
+    /// Asks another instance to ping one that did not respond.
     IndirectPing {
-        /// The asker's number for this try.
+        /// The requester's sequence number of the unanswered ping.
         sequence: Sequence,
-        /// The instance that did not answer, which the third one may not know yet.
+        /// The instance that did not respond, which the recipient may not know yet.
         subject: MemberUpdate,
     },
-    /// Says that the instance asked about has answered.
+    /// Reports that the subject of an indirect ping has responded.
     IndirectAck {
-        /// The asker's number for this try.
+        /// The requester's sequence number of the unanswered ping.
         sequence: Sequence,
-        /// The instance that has answered.
+        /// The instance that responded.
         subject: InstanceId,
     },
-    /// Sums up the sender's view of who lives, for a peer whose view differs.
+    /// Requests members from a peer whose view differs, with a digest of the sender's view.
     ViewRequest(ViewDigest),
-    /// Answers that with a part of what the sender knows where the views differ.
+    /// Answers a view request with some of the sender's members in the parts that differ.
     ViewPart(Vec<MemberUpdate>),
-    /// Says how far the store has been read, and perhaps what has just changed in it.
+    /// Announces how far the store has been read, and optionally what has just changed in it.
     StoreUpdate(StoreUpdate),
 }
 
-/// What an instance that watches the store tells all others, by way of a few that pass it on.
+/// An update that the store watcher sends to all other instances, directly or through relays.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct StoreUpdate {
-    /// The instance that watches, when another one passes its news on; `None` when it is the sender.
+    /// The watcher if a relay forwards its update; `None` if the sender is the watcher.
     pub watcher: Option<MemberUpdate>,
-    /// How far it has read the store.
+    /// How far the watcher has read the store.
     pub announcement: Announcement,
-    /// What has just changed in the store, when that is why it tells.
+    /// The change that caused the update, if there is one and it fits in a datagram.
     pub delta: Option<Arc<Delta>>,
-    /// The revision that the sender itself knows everything up to; below that of the announcement when it passes on what it
-    /// has not yet got.
-    pub holds: Revision,
-    /// The instances to pass it on to.
+    /// The revision up to which the sender itself is complete. It is lower than the announced revision if a relay has
+    /// not received the change yet.
+    pub sender_revision: Revision,
+    /// The instances to relay the update to.
     pub relay_to: Vec<InstanceId>,
 }
 
-/// A sign of life with news of members.
+/// A ping or an ack with piggybacked member updates.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Heartbeat {
-    /// Number of the ping.
+    /// Sequence number of the ping.
     pub sequence: Sequence,
-    /// How many members the sender believes to serve.
+    /// Number of instances that the sender considers serving, including itself.
     pub serving: u32,
-    /// Hash of the sender's view of who lives; a peer whose own differs asks for more.
+    /// Hash of the sender's membership view; a peer whose own hash differs requests the differences.
     pub view: u64,
-    /// The revision that the sender knows everything of the store up to; zero when it knows nothing or is about to end.
+    /// The revision of the store up to which the sender is complete; zero if it knows nothing or is about to exit.
     pub revision: Revision,
-    /// Time since the sender last had fresh word of the store, its own or a watcher's.
+    /// Time since the sender last received fresh information about the store, from the store itself or from a watcher.
     pub age: Duration,
-    /// News of members.
+    /// Piggybacked member updates.
     pub members: Vec<MemberUpdate>,
 }
 
-/// How far an instance that watches the store has read it.
+/// How far the watcher has read the store.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Announcement {
-    /// The revision that it knows everything up to.
+    /// The revision up to which the watcher is complete.
     pub revision: Revision,
-    /// Time since the store last answered it.
+    /// Time since the store last answered the watcher.
     pub age: Duration,
-    /// Whether it is about to stop: another one should take over at once.
+    /// Whether the watcher is about to stop, so that another instance should take over immediately.
     pub leaving: bool,
 }
 
-/// Everything that an instance which has just started needs to know.
+/// The state that a newly started instance needs, as sent by a peer.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Handover {
-    /// What the store says.
+    /// Contents of the store.
     pub delta: Delta,
-    /// Open work with its age.
+    /// Open requests with their ages.
     pub open_requests: Vec<(FlowHash, TargetId, Duration)>,
-    /// Targets that seem not to answer, and for how much longer to avoid each.
+    /// Targets that appear unresponsive, with the remaining time to avoid each.
     pub avoid: Vec<(TargetId, Duration)>,
     /// The other instances.
     pub members: Vec<MemberUpdate>,
--- a/crates/core/src/direct/mod.rs
+++ b/crates/core/src/direct/mod.rs
@@ -1,23 +1,26 @@
-//! The direct path: targets answer their callers themselves.
+//! The direct path: targets answer their callers directly (direct server return).
 //!
-//! An instance sees only what callers send, and a cookie that it writes on a SYN comes back in every later packet of
-//! the flow. So nothing has to be agreed on about open flows, and what is left to decide is where a SYN goes.
+//! An instance sees only the packets that callers send. The cookie that it writes into a SYN is returned in every later
+//! packet of the flow, so instances need not agree on open flows; the only decision left is where a SYN goes.
 //!
-//! - [`dispatcher`] decides about each packet; [`segment`] is what it sees of one.
-//! - [`directory`] is what the store says, in [`store_entries`] that instances pass on to each other; [`routes`] is the
-//!   configuration in it.
-//! - [`placement`] picks a target, by [`open_requests`] (what targets hold, told between instances in [`load_report`]), [`outlier`]
-//!   and [`domain_reach`] (which seem not to answer, single ones and whole failure domains), [`failures`] (which answer with
-//!   failures, or by [`answer_times`] not at all though they finish handshakes) and [`handshake_timeout`] (how long a handshake may take).
-//! - [`reachability`] checks targets that owe answers, so that flows at those which are out of reach can be reset.
-//! - [`admission`] tells which flows may wait when no slot is free, [`pending`] keeps them, [`concurrency_limit`] bounds what an instance sends while it is alone,
-//!   [`adaptive_limit`] what it sends while targets are overloaded; [`flows`] are the records of those that pass through here.
-//! - [`readiness`] tells whether callers should be handed to this instance at all.
-//! - [`fleet`] is the other instances, [`watch`] who of them watches the store, [`message`] what they say.
-//! - [`starting`] is how an instance learns everything when it starts. [`pause`] notices that the process was
-//!   paused. [`stopping`] tells when a planned stop is over.
-//! - [`mechanisms`] are the switches by which a trial turns single decisions off.
-//! - [`decision`] is what logs and metrics show of all that.
+//! - [`dispatcher`] decides about each packet; [`segment`] is the part of a packet that it sees.
+//! - [`directory`] is the local copy of the store's contents, built from [`store_entries`] that instances exchange;
+//!   [`routes`] is the configuration in it.
+//! - [`placement`] selects a target. It uses [`open_requests`] (the load of the targets, shared between instances in
+//!   [`load_report`]), [`outlier`] and [`domain_reach`] (targets and whole failure domains that appear unresponsive),
+//!   [`failures`] (targets that answer with failures or, according to [`answer_times`], complete handshakes but do not
+//!   answer) and [`handshake_timeout`] (the time allowed for a handshake).
+//! - [`reachability`] checks targets with outstanding answers, so that flows to unreachable ones can be reset.
+//! - [`admission`] decides which flows may wait when no slot is free, and [`pending`] queues them.
+//!   [`concurrency_limit`] limits the load that an instance sends while it is alone, [`adaptive_limit`] the load while
+//!   targets are overloaded. [`flows`] records the flows that pass through this instance.
+//! - [`readiness`] decides whether callers should be sent to this instance at all.
+//! - [`fleet`] tracks the other instances, [`watch`] selects the one that watches the store, and [`message`] defines
+//!   the messages between instances.
+//! - [`starting`] obtains the state that a new instance needs. [`pause`] detects that the process was paused.
+//!   [`stopping`] determines when a planned stop is complete.
+//! - [`mechanisms`] are the switches with which an experiment disables single decisions.
+//! - [`decision`] defines how all these decisions appear in logs and metrics.
 
 pub mod adaptive_limit;
 pub mod admission;
--- a/crates/core/src/direct/routes.rs
+++ b/crates/core/src/direct/routes.rs
@@ -1,9 +1,10 @@
-//! The operators' configuration in force, and what in it has changed since when.
+//! The active configuration, and the revision at which each of its routes last changed.
 //!
-//! A configuration is published whole, and most new versions change one route of hundreds. Told whole to a large fleet, a
-//! quick succession of versions fills the link of the instance that watches the store: its heartbeats and announcements
-//! are lost with everything else, others take it and each other for dead, and some go on by old news for seconds. So
-//! instances tell each other differences, each with the revision from which on it applies.
+//! A configuration is published in full, although most new versions change one route out of hundreds. In a large fleet,
+//! sending full configurations in quick succession saturates the link of the instance that watches the store. Its
+//! heartbeats and announcements are then lost along with everything else, instances declare it and each other dead, and
+//! some instances use outdated entries for seconds. Instances therefore exchange differences, each with the revision
+//! that it applies to.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -17,36 +18,37 @@
 use crate::maps::Map;
 use hawthornshift_model::Revision;
 
-/// Configurations whose differences to the present one can be told. Whoever is further behind gets the whole.
-const REMEMBERED: usize = 64;
+/// Number of earlier configurations to which a difference can be computed. A peer that is further behind receives the
+/// full configuration.
+const MAX_KNOWN_REVISIONS: usize = 64;
 
-/// What came of a piece of news about the configuration.
+/// Result of applying a configuration or a difference.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Learned {
-    /// It was new.
-    New,
-    /// It was known, or older than what is known.
-    Known,
-    /// It is a difference to another configuration than the one here.
-    Gap,
+pub enum ApplyOutcome {
+    /// It was newer and has been applied.
+    Applied,
+    /// It was already known, or older than the local one.
+    AlreadyKnown,
+    /// It is a difference to a configuration other than the local one.
+    BaseMismatch,
 }
 
-/// The configuration in force.
+/// The active configuration.
 #[derive(Clone, Debug)]
 pub struct Routes {
     revision: Revision,
     routing: Routing,
     by_address: Map<SocketAddrV4, usize>,
-    /// Revision at which each route took its present form, as far as it is later than the first in `seen`.
+    /// Revision at which each route last changed, if that is later than the first revision in `known_revisions`.
     changed: BTreeMap<SocketAddrV4, Revision>,
-    /// Routes that are gone, with the revision at which they went.
+    /// Removed routes, with the revision at which they were removed.
     removed: BTreeMap<SocketAddrV4, Revision>,
-    /// Revisions of the configurations that were in force here, the oldest first.
-    seen: BTreeSet<Revision>,
+    /// Revisions of the configurations that have been active here.
+    known_revisions: BTreeSet<Revision>,
 }
 
 impl Routes {
-    /// Starts with a whole configuration.
+    /// Creates the state from a full configuration.
     #[must_use]
     pub fn new(revision: Revision, routing: Routing) -> Self {
         let mut routes = Self {
@@ -55,7 +57,7 @@
             by_address: Map::default(),
             changed: BTreeMap::new(),
             removed: BTreeMap::new(),
-            seen: BTreeSet::from([revision]),
+            known_revisions: BTreeSet::from([revision]),
         };
         routes.index();
         routes
@@ -73,66 +75,67 @@
         &self.routing
     }
 
-    /// Returns the route to an address and port.
+    /// Returns the route for an address and port.
     #[must_use]
     pub fn route(&self, address: SocketAddrV4) -> Option<&Route> {
         self.by_address.get(&address).and_then(|&index| self.routing.routes.get(index))
     }
 
-    /// Takes over a whole configuration.
-    pub fn replace(&mut self, revision: Revision, routing: &Routing) -> Learned {
+    /// Applies a full configuration.
+    pub fn replace(&mut self, revision: Revision, routing: &Routing) -> ApplyOutcome {
         if self.revision >= revision {
-            return Learned::Known;
+            return ApplyOutcome::AlreadyKnown;
         }
-        let gone: Vec<SocketAddrV4> = {
-            let named: BTreeSet<SocketAddrV4> = routing.routes.iter().map(|route| route.address).collect();
-            self.by_address.keys().copied().filter(|address| !named.contains(address)).collect()
+        let removed: Vec<SocketAddrV4> = {
+            let present: BTreeSet<SocketAddrV4> = routing.routes.iter().map(|route| route.address).collect();
+            self.by_address.keys().copied().filter(|address| !present.contains(address)).collect()
         };
         let differs = |route: &&Route| self.route(route.address) != Some(route);
-        let new: Vec<SocketAddrV4> = routing.routes.iter().filter(differs).map(|route| route.address).collect();
-        self.note(revision, &new, &gone);
+        let modified: Vec<SocketAddrV4> = routing.routes.iter().filter(differs).map(|route| route.address).collect();
+        self.record_changes(revision, &modified, &removed);
         self.routing = routing.clone();
         self.index();
-        Learned::New
+        ApplyOutcome::Applied
     }
 
-    /// Takes over a difference.
-    pub fn change(&mut self, revision: Revision, change: &RoutingChange) -> Learned {
+    /// Applies a difference.
+    pub fn apply_difference(&mut self, revision: Revision, change: &RoutingChange) -> ApplyOutcome {
         if self.revision >= revision {
-            return Learned::Known;
+            return ApplyOutcome::AlreadyKnown;
         }
-        // An earlier or later one than the difference is meant for may have routes that whoever made it never saw.
+        // A configuration other than the base of the difference, earlier or later, may have routes unknown to the
+        // instance that computed it.
         if self.revision != change.since {
-            return Learned::Gap;
+            return ApplyOutcome::BaseMismatch;
         }
-        let new: Vec<SocketAddrV4> = change.changed.iter().map(|route| route.address).collect();
-        self.note(revision, &new, &change.removed);
-        let gone: BTreeSet<SocketAddrV4> = new.into_iter().chain(change.removed.iter().copied()).collect();
-        self.routing.routes.retain(|route| !gone.contains(&route.address));
+        let modified: Vec<SocketAddrV4> = change.changed.iter().map(|route| route.address).collect();
+        self.record_changes(revision, &modified, &change.removed);
+        let replaced: BTreeSet<SocketAddrV4> = modified.into_iter().chain(change.removed.iter().copied()).collect();
+        self.routing.routes.retain(|route| !replaced.contains(&route.address));
         self.routing.routes.extend(change.changed.iter().cloned());
         self.routing.version = change.version;
         self.routing.services.clone_from(&change.services);
         self.routing.idle_timeout = change.idle_timeout;
         self.index();
-        Learned::New
+        ApplyOutcome::Applied
     }
 
-    /// Remembers which routes took another form at a revision.
-    fn note(&mut self, revision: Revision, new: &[SocketAddrV4], gone: &[SocketAddrV4]) {
-        for address in new {
+    /// Records which routes changed at a revision.
+    fn record_changes(&mut self, revision: Revision, modified: &[SocketAddrV4], removed: &[SocketAddrV4]) {
+        for address in modified {
             self.changed.insert(*address, revision);
             self.removed.remove(address);
         }
-        for address in gone {
+        for address in removed {
             self.changed.remove(address);
             self.removed.insert(*address, revision);
         }
         self.revision = revision;
-        self.seen.insert(revision);
-        while self.seen.len() > REMEMBERED {
-            self.seen.pop_first();
+        self.known_revisions.insert(revision);
+        while self.known_revisions.len() > MAX_KNOWN_REVISIONS {
+            self.known_revisions.pop_first();
         }
-        let first = self.seen.first().copied().unwrap_or(revision);
+        let first = self.known_revisions.first().copied().unwrap_or(revision);
         self.changed.retain(|_, at| *at > first);
         self.removed.retain(|_, at| *at > first);
     }
@@ -142,20 +145,20 @@
         self.by_address = addresses.map(|(index, route)| (route.address, index)).collect();
     }
 
-    /// Returns the configuration as it is told to an instance that knows everything up to a revision; `None` when it
-    /// knows this one.
+    /// Returns the configuration in the form sent to an instance that knows everything up to `since`; `None` if that
+    /// instance already knows this configuration.
     #[must_use]
-    pub fn told_since(&self, since: Revision) -> Option<VersionedEntry> {
+    pub fn entry_since(&self, since: Revision) -> Option<VersionedEntry> {
         if since >= self.revision {
             return None;
         }
-        // The other instance knows what came up to `since`, so it has this configuration, or one that was never seen
-        // here; it asks for the whole then.
-        let fact = match self.seen.range(..=since).next_back() {
+        // The other instance knows everything up to `since`, so it has the latest configuration at or before `since`
+        // that is known here, or one that was never known here. In the latter case it requests a full snapshot.
+        let entry = match self.known_revisions.range(..=since).next_back() {
             None => StoreEntry::Routing(self.routing.clone()),
             Some(&base) => StoreEntry::RoutingChange(self.changes_since(base)),
         };
-        Some(VersionedEntry { revision: self.revision, entry: fact })
+        Some(VersionedEntry { revision: self.revision, entry })
     }
 
     fn changes_since(&self, base: Revision) -> RoutingChange {
--- a/crates/core/src/direct/store_entries.rs
+++ b/crates/core/src/direct/store_entries.rs
@@ -1,7 +1,8 @@
-//! What the store says, decoded, and how instances pass it on to each other.
+//! Decoded entries of the store, and the form in which instances exchange them.
 //!
-//! Every fact carries the store's revision of its key. The store counts all changes with one counter, so of two facts
-//! about one key the one with the higher revision is the later, whoever tells it and in whatever order they arrive.
+//! Every entry carries the store's revision of its key. The store counts all changes with a single counter, so of two
+//! entries for the same key the one with the higher revision is the later one, regardless of which instance sent it and
+//! in which order they arrive.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -15,7 +16,7 @@
 use hawthornshift_model::Revision;
 use hawthornshift_model::TargetId;
 
-/// What a route's requests bear.
+/// Class of a route's requests.
 #[derive(
     Clone,
     Copy,
@@ -33,143 +34,144 @@
 )]
 #[strum(serialize_all = "kebab-case")]
 pub enum RequestKind {
-    /// They may run any number of times.
+    /// Requests may run any number of times.
     Safe,
-    /// They may run once at most.
+    /// Requests may run at most once.
     #[default]
     Unsafe,
-    /// They may run any number of times, and their answers are large.
+    /// Requests may run any number of times, and their answers are large.
     Download,
 }
 
-/// A service's part of a route's new flows.
+/// A service's share of a route's new flows.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Share {
     /// Name of the service.
     pub service: String,
-    /// Its weight among the route's shares; zero gets nothing.
+    /// Its weight among the route's shares; with weight zero it gets no flows.
     pub weight: u32,
 }
 
-/// Where flows to one address and port go.
+/// Where the flows to an address and port go.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Route {
-    /// The address and port that callers send to.
+    /// Address and port that callers send to.
     pub address: SocketAddrV4,
-    /// The services that new flows go to.
+    /// Services that new flows are distributed to.
     pub shares: Vec<Share>,
-    /// What its requests bear.
+    /// Class of its requests.
     pub kind: RequestKind,
-    /// Longest time that a request may take.
+    /// Maximum duration of a request.
     pub timeout: Duration,
     /// Time within which an answer is worth most to the caller.
     pub latency_objective: Duration,
-    /// Zero is the highest.
+    /// Priority; zero is the highest.
     pub priority: u8,
 }
 
-/// What is published of a service.
+/// The published part of a service's configuration.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceSpec {
-    /// Its name.
+    /// Name of the service.
     pub name: String,
-    /// How long a target that has just started stays cold.
+    /// Slow start duration of a newly started target.
     pub cold_time: Duration,
 }
 
-/// The operators' newest configuration, whole.
+/// The operators' latest configuration in full.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Routing {
-    /// Its number.
+    /// Version of the configuration.
     pub version: u64,
     /// All routes.
     pub routes: Vec<Route>,
     /// All services.
     pub services: Vec<ServiceSpec>,
-    /// Time after which an idle flow may be forgotten.
+    /// Time after which an idle flow may be removed.
     pub idle_timeout: Duration,
 }
 
-/// What has changed in the configuration. Only instances tell this, each other; the store has it whole.
+/// Difference between two versions of the configuration. It is only exchanged between instances; the store holds full
+/// configurations.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct RoutingChange {
-    /// Revision of the configuration that this makes into the new one.
+    /// Revision of the configuration that the difference applies to.
     pub since: Revision,
-    /// Number of the new configuration.
+    /// Version of the resulting configuration.
     pub version: u64,
-    /// Routes that were added or took another form.
+    /// Routes that were added or modified.
     pub changed: Vec<Route>,
-    /// Routes that are gone.
+    /// Routes that were removed.
     pub removed: Vec<SocketAddrV4>,
     /// All services.
     pub services: Vec<ServiceSpec>,
-    /// Time after which an idle flow may be forgotten.
+    /// Time after which an idle flow may be removed.
     pub idle_timeout: Duration,
 }
 
-/// What a target's entry says.
+/// Contents of a target's entry.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct TargetSpec {
     /// Name of its service.
     pub service: String,
-    /// Where it takes packets.
+    /// Address that receives its packets.
     pub address: SocketAddrV4,
     /// Name of its failure domain.
     pub failure_domain: String,
-    /// Requests that it works on at the same time.
+    /// Number of requests that it processes concurrently.
     pub slots: u32,
     /// Whether it is about to leave.
     pub draining: bool,
-    /// How much longer it stays cold, counted from when this is told.
+    /// Remaining slow start, counted from when this is sent.
     pub cold_for: Duration,
-    /// When this life of it began, in milliseconds since the Unix epoch; zero when it does not say.
+    /// When this start of the target began, in milliseconds since the Unix epoch; zero if not specified.
     #[serde(rename = "born")]
     pub started_at_ms: u64,
 }
 
-/// What one key of the store says.
+/// Contents of one key of the store.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub enum StoreEntry {
-    /// A target's entry, or that there is none.
+    /// A target's entry, or `None` if there is none.
     Target(TargetId, Option<TargetSpec>),
-    /// What the entry of a target said before it was removed. Only instances tell this, each other: the target may still
-    /// serve its flows, and one that has just started could not read of it in the store any more.
-    Left(TargetId, TargetSpec),
-    /// Whether a failure domain is taken out.
+    /// The last entry of a target that was removed. It is only exchanged between instances: the target may still serve
+    /// its flows, and an instance that has just started could no longer read the entry from the store.
+    RemovedTarget(TargetId, TargetSpec),
+    /// Whether a failure domain is evacuated.
     Evacuated(String, bool),
-    /// The configuration.
+    /// The full configuration.
     Routing(Routing),
-    /// The configuration, told by its difference to an earlier one.
+    /// The configuration as a difference to an earlier one.
     RoutingChange(RoutingChange),
 }
 
-/// A fact with the store's revision of its key.
+/// An entry with the store's revision of its key.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct VersionedEntry {
-    /// When the store took it.
+    /// Revision at which the store accepted the entry.
     pub revision: Revision,
-    /// What it says.
+    /// The entry.
     pub entry: StoreEntry,
 }
 
-/// A part of what the store says.
+/// A set of changes of the store, or a full snapshot of it.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Delta {
-    /// The revision that these facts follow on; nothing changed in between is left out.
+    /// The revision that these entries follow; all changes between it and `revision` are included.
     pub since: Revision,
     /// The revision that they lead to.
     pub revision: Revision,
-    /// Whether they are all there is: what is not named does not exist.
+    /// Whether this is a full snapshot: what it does not contain does not exist.
     pub is_snapshot: bool,
-    /// The facts.
+    /// The entries.
     pub entries: Vec<VersionedEntry>,
 }
--- a/crates/core/src/direct/watch.rs
+++ b/crates/core/src/direct/watch.rs
@@ -1,9 +1,10 @@
-//! Which instances watch the store.
+//! Selection of the instances that watch the store.
 //!
-//! Every call to the store is counted, and all instances want the same news, so one watches and tells the others. It
-//! is not elected: whoever hears no fresh announcement takes the duty over after a delay that grows with its rank, and
-//! a watcher that hears a fresh announcement from one that ranks before it lays the duty down. Each side of a partition
-//! thus gets a watcher of its own, and one that the store turns away is replaced without anybody having to notice why.
+//! Every call to the store is counted, and all instances need the same updates, so one instance watches the store and
+//! announces its updates to the others. There is no election. An instance that receives no fresh announcement takes
+//! over the watcher role after a delay that grows with its rank, and a watcher that receives a fresh announcement from
+//! an instance that ranks before it releases the role. Each side of a partition thus gets its own watcher, and a
+//! watcher that the store rejects is replaced without anyone having to detect the reason.
 
 use std::time::Duration;
 
@@ -13,93 +14,96 @@
 
 /// Time between two announcements of a watcher.
 pub const ANNOUNCE_PERIOD: Duration = Duration::from_millis(300);
-/// Age of a watcher's last answer from the store above which its announcements count for nothing. A watch without
-/// news is answered after [`WATCH_WAIT`], so this leaves a slow store some 700 ms.
-const STALE: Duration = Duration::from_millis(1_700);
-/// How long a watch waits for a change. A connection to the store may go silent without a reset, which only a missing
-/// answer shows; a change must be in force within three seconds, and a takeover needs one of them.
+/// Maximum age of a watcher's last answer from the store for its announcements to count. A watch without changes is
+/// answered after [`WATCH_WAIT`], so this leaves a slow store about 700 ms.
+const MAX_ANSWER_AGE: Duration = Duration::from_millis(1_700);
+/// Time that a watch waits for a change. A connection to the store may stall without a reset, which only a missing
+/// answer reveals; a change must take effect within three seconds, and a takeover needs one of them.
 pub const WATCH_WAIT: Duration = Duration::from_secs(1);
-/// Silence after which the first in rank takes the duty over: three announcements, of which two may be lost.
-const SILENCE: Duration = Duration::from_secs(1);
-/// Further silence for each rank, long enough for the first announcement of the one before to arrive. Ranks count
-/// only instances believed to live, and grow without end: while the store is down for all, only the first few should
-/// go on asking it.
-const STEP: Duration = Duration::from_millis(150);
-
-/// A change of the duty.
+/// Time without a fresh announcement after which the instance that ranks first takes over the role: three
+/// announcements, of which two may be lost.
+const TAKEOVER_TIMEOUT: Duration = Duration::from_secs(1);
+/// Additional time for each rank, long enough for the first announcement of the preceding instance to arrive. Ranks
+/// count only instances considered alive and are unbounded, so that only the first few instances keep querying the
+/// store while it is down for all.
+const TAKEOVER_RANK_DELAY: Duration = Duration::from_millis(150);
+
+/// A change of the watcher role.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RoleChange {
-    /// Begin to watch.
+    /// Start watching.
     Begin,
     /// Stop watching.
     End,
 }
 
-/// Whether this instance watches the store.
+/// This instance's state in the selection of the watcher.
 #[derive(Clone, Copy, Debug)]
 pub struct WatcherRole {
     watching: bool,
-    /// When a fresh announcement was last heard, or this instance began to wait for one.
-    heard: Timestamp,
-    /// Who announced last that its word of the store is fresh.
+    /// When the last fresh announcement arrived, or when this instance started to wait for one.
+    last_fresh: Timestamp,
+    /// The instance that sent the last fresh announcement.
     watcher: Option<InstanceId>,
     /// When the store last answered this instance.
-    answered: Option<Timestamp>,
+    last_answer: Option<Timestamp>,
     next_announcement: Timestamp,
     leaving: bool,
-    /// Until when the word of others about a watcher counts for nothing: the one that they mean has just said that it leaves.
-    no_hearsay_until: Timestamp,
+    /// Until when the ages reported in heartbeats are ignored: they refer to a watcher that has just announced that it
+    /// leaves.
+    ignore_heartbeat_ages_until: Timestamp,
 }
 
 impl WatcherRole {
-    /// Starts at a time, not watching.
+    /// Creates the state at `now`, not watching.
     #[must_use]
     pub fn new(now: Timestamp) -> Self {
         Self {
             watching: false,
-            heard: now,
+            last_fresh: now,
             watcher: None,
-            answered: None,
+            last_answer: None,
             next_announcement: now,
             leaving: false,
-            no_hearsay_until: Timestamp::ZERO,
+            ignore_heartbeat_ages_until: Timestamp::ZERO,
         }
     }
 
-    /// Tells whether this instance watches.
+    /// Returns whether this instance watches the store.
     #[must_use]
     pub fn is_watching(&self) -> bool {
         self.watching
     }
 
-    /// Tells whether an instance that does not know everything yet should read the store itself: not while it watches, and
-    /// not while another one does, whom it can ask. To take the duty over and lay it down at each announcement, until the
-    /// other's answer has come, would cost a call each time.
+    /// Returns whether an instance that is not synchronized yet should read the store itself. It should not while it
+    /// watches, nor while another instance does, which it can ask. Otherwise it would take over and release the role at
+    /// each announcement until the other instance's answer arrives, at the cost of a store call each time.
     #[must_use]
     pub fn should_read(&self) -> bool {
         !self.watching && self.watcher.is_none()
     }
 
-    /// Returns the time since this instance last had word of the store, its own or a watcher's.
+    /// Returns the time since this instance last received fresh information about the store, from the store itself or
+    /// from a watcher.
     #[must_use]
     pub fn age(&self, now: Timestamp) -> Duration {
-        let latest = if self.watching { self.answered.unwrap_or(Timestamp::ZERO) } else { self.heard };
+        let latest = if self.watching { self.last_answer.unwrap_or(Timestamp::ZERO) } else { self.last_fresh };
         now.saturating_sub(latest)
     }
 
-    /// Notes an answer of the store.
+    /// Records an answer of the store.
     pub fn answered(&mut self, now: Timestamp) {
-        self.answered = Some(now);
-        self.heard = now;
+        self.last_answer = Some(now);
+        self.last_fresh = now;
     }
 
-    /// Declares that this instance is about to stop.
+    /// Records that this instance is about to stop.
     pub fn leave(&mut self, now: Timestamp) {
         self.leaving = true;
         self.next_announcement = now;
     }
 
-    /// Takes in an announcement from an instance that ranks before this one or not.
+    /// Handles an announcement; `ranks_before` is whether its sender ranks before this instance.
     pub fn receive(
         &mut self,
         now: Timestamp,
@@ -107,18 +111,19 @@
         announcement: &Announcement,
         ranks_before: bool,
     ) -> Option<RoleChange> {
-        if announcement.leaving || announcement.age > STALE {
-            // Counts as long silence of the one that all relied on, so that the first in rank begins at once.
+        if announcement.leaving || announcement.age > MAX_ANSWER_AGE {
+            // Treated as if the watcher's announcements had been missing for the takeover timeout, so that the instance
+            // that ranks first takes over immediately.
             if self.watcher == Some(from) {
                 self.watcher = None;
-                self.heard = self.heard.min(now.saturating_sub(SILENCE));
-                self.no_hearsay_until = now + SILENCE;
+                self.last_fresh = self.last_fresh.min(now.saturating_sub(TAKEOVER_TIMEOUT));
+                self.ignore_heartbeat_ages_until = now + TAKEOVER_TIMEOUT;
             }
             return None;
         }
-        self.heard = now;
+        self.last_fresh = now;
         self.watcher = Some(from);
-        let stale = self.answered.is_none_or(|at| now.saturating_sub(at) > STALE);
+        let stale = self.last_answer.is_none_or(|at| now.saturating_sub(at) > MAX_ANSWER_AGE);
         if self.watching && (ranks_before || stale || self.leaving) {
             self.watching = false;
             return Some(RoleChange::End);
@@ -126,46 +131,47 @@
         None
     }
 
-    /// Takes in from a heartbeat how long ago its sender last had fresh word of the store.
+    /// Handles the age from a heartbeat: the time since its sender last received fresh information about the store.
     ///
-    /// Announcements are passed on, and one that should pass them on may hang. Without this, those who miss a few in a row
-    /// would begin to watch although everybody around them hears a watcher.
-    pub fn hear_of(&mut self, now: Timestamp, age: Duration) {
-        if now >= self.no_hearsay_until {
-            self.heard = self.heard.max(now.saturating_sub(age));
+    /// Announcements are relayed, and a relay may hang. Without this, instances that miss several announcements in a
+    /// row would start to watch although their peers receive a watcher's announcements.
+    pub fn receive_heartbeat_age(&mut self, now: Timestamp, age: Duration) {
+        if now >= self.ignore_heartbeat_ages_until {
+            self.last_fresh = self.last_fresh.max(now.saturating_sub(age));
         }
     }
 
-    /// Begins to watch if nobody who ranks before seems to.
+    /// Takes over the watcher role if no instance that ranks before this one appears to hold it; `rank` is the number
+    /// of live instances that do.
     pub fn tick(&mut self, now: Timestamp, rank: u32) -> Option<RoleChange> {
         if self.watching || self.leaving {
             return None;
         }
-        let timeout = SILENCE + STEP * rank;
-        if now.saturating_sub(self.heard) < timeout {
+        let timeout = TAKEOVER_TIMEOUT + TAKEOVER_RANK_DELAY * rank;
+        if now.saturating_sub(self.last_fresh) < timeout {
             return None;
         }
         self.begin(now);
         Some(RoleChange::Begin)
     }
 
-    /// Begins to watch whatever the others do.
+    /// Starts to watch regardless of the other instances.
     pub fn begin(&mut self, now: Timestamp) {
         self.watching = true;
         self.next_announcement = now;
     }
 
-    /// Returns an announcement when one is due.
+    /// Returns an announcement if one is due.
     pub fn announcement(&mut self, now: Timestamp, revision: u64) -> Option<Announcement> {
-        let answered = self.answered?;
+        let last_answer = self.last_answer?;
         if !self.watching || now < self.next_announcement || revision == 0 {
             return None;
         }
         self.next_announcement = now + ANNOUNCE_PERIOD;
-        Some(Announcement { revision, age: now.saturating_sub(answered), leaving: self.leaving })
+        Some(Announcement { revision, age: now.saturating_sub(last_answer), leaving: self.leaving })
     }
 
-    /// Asks for an announcement at once, since there is news.
+    /// Makes an announcement due immediately, because the store changed.
     pub fn announce_now(&mut self, now: Timestamp) {
         self.next_announcement = now;
     }
--- a/crates/core/src/health.rs
+++ b/crates/core/src/health.rs
@@ -1,7 +1,8 @@
-//! What this instance believes of targets that another instance keeps.
+//! Status of targets that another instance coordinates, as known to this instance.
 //!
-//! A target's keeper probes it and sees its answers; the other instances of the failure domain, which send flows
-//! there, learn of it by heartbeats. News is a hint with an age: without fresh news a target counts as usable.
+//! A target's coordinator runs its health checks and observes its answers. The other instances of the failure domain,
+//! which send flows to the target, learn its status from heartbeats. A status is only a hint and expires: without a
+//! recent update the target counts as usable.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -12,56 +13,56 @@
 use crate::maps::Map;
 use hawthornshift_model::TargetId;
 
-/// State of a target.
+/// Status of a target.
 #[derive(Clone, Copy, Debug, Deserialize, Display, Eq, Hash, IntoStaticStr, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
 pub enum TargetStatus {
-    /// It bears its full load.
+    /// It takes its full load.
     Warm,
-    /// It bears only part of it.
+    /// It is in slow start and takes only part of its full load.
     Cold,
-    /// It does not answer.
+    /// It does not respond.
     Down,
-    /// It takes nothing new.
+    /// It takes no new work.
     Leaving,
 }
 
-/// State of a target as its keeper sees it.
+/// Status of a target as observed by its coordinator.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct TargetStatusUpdate {
     /// The target.
     pub target: TargetId,
-    /// Its state.
+    /// Its status.
     pub status: TargetStatus,
 }
 
-/// Age at which news of a target no longer counts.
-const NEWS_LIFE: Timestamp = Timestamp::from_secs(15);
+/// Age after which a status expires.
+const STATUS_TTL: Timestamp = Timestamp::from_secs(15);
 
-/// News of targets, each with the time it came.
+/// Latest status of each target, with the time at which it arrived.
 #[derive(Clone, Debug, Default)]
 pub struct TargetStatusCache {
-    news: Map<TargetId, (TargetStatus, Timestamp)>,
+    statuses: Map<TargetId, (TargetStatus, Timestamp)>,
 }
 
 impl TargetStatusCache {
-    /// Notes news; returns whether it changes what was believed.
-    pub fn note(&mut self, now: Timestamp, news: TargetStatusUpdate) -> bool {
-        let before = self.news.insert(news.target, (news.status, now));
-        before.map(|(status, _)| status) != Some(news.status)
+    /// Records an update and returns whether it changes the known status.
+    pub fn note(&mut self, now: Timestamp, update: TargetStatusUpdate) -> bool {
+        let before = self.statuses.insert(update.target, (update.status, now));
+        before.map(|(status, _)| status) != Some(update.status)
     }
 
-    /// Returns a target's state as far as fresh news tells.
+    /// Returns a target's status, or `None` without a recent update.
     #[must_use]
     pub fn status(&self, now: Timestamp, target: TargetId) -> Option<TargetStatus> {
-        let (status, at) = self.news.get(&target)?;
-        (now.saturating_sub(*at) < NEWS_LIFE).then_some(*status)
+        let (status, at) = self.statuses.get(&target)?;
+        (now.saturating_sub(*at) < STATUS_TTL).then_some(*status)
     }
 
-    /// Forgets news that no longer counts.
+    /// Removes expired statuses.
     pub fn expire(&mut self, now: Timestamp) {
-        self.news.retain(|_, (_, at)| now.saturating_sub(*at) < NEWS_LIFE);
+        self.statuses.retain(|_, (_, at)| now.saturating_sub(*at) < STATUS_TTL);
     }
 }
--- a/crates/core/src/maps.rs
+++ b/crates/core/src/maps.rs
@@ -1,16 +1,16 @@
-//! Hash maps whose order is the same in every run.
+//! Hash maps with the same iteration order in every run.
 //!
-//! The standard library's maps are seeded at random. Where a decision walks over one, two runs with the same inputs
-//! would part, and a failure found once could not be played again. These have a fixed seed. Keys that strangers choose
-//! are hashed elsewhere (the flow table) or signed first (tickets).
+//! The standard library's maps are seeded at random. If a decision iterates over one, two runs with the same inputs
+//! diverge, and a failure found in one run cannot be reproduced. These maps have a fixed seed. Keys chosen by untrusted
+//! parties are hashed elsewhere (the flow table) or authenticated first (tickets).
 
 use std::collections::HashMap;
 use std::collections::HashSet;
 
 use foldhash::fast::FixedState;
 
-/// A hash map whose order is the same in every run.
+/// A hash map with a fixed seed.
 pub type Map<K, V> = HashMap<K, V, FixedState>;
 
-/// A hash set whose order is the same in every run.
+/// A hash set with a fixed seed.
 pub type Set<K> = HashSet<K, FixedState>;
--- a/crates/core/src/membership/anti_entropy.rs
+++ b/crates/core/src/membership/anti_entropy.rs
@@ -1,8 +1,9 @@
-//! Anti-entropy: two instances compare their views and exchange what differs.
+//! Anti-entropy: two instances compare their views and exchange the differences.
 //!
-//! News alone converges slowly when a whole fleet starts, since there is more of it than heartbeats carry, and a piece that
-//! was passed on often enough may still have missed somebody. A digest on each heartbeat shows that two views differ; one
-//! of the two then sends hashes of its view by buckets of instance numbers, and gets the members of the buckets that differ.
+//! Piggybacked updates alone converge slowly when a whole fleet starts: there are more of them than heartbeats can
+//! carry, and an update that reached its transmission limit may still have missed some members. A hash on each
+//! heartbeat shows whether two views differ. One of the two instances then sends a digest of its view, with one hash
+//! per bucket of instance ids, and receives the members of the buckets that differ.
 
 use rand::Rng;
 use rand::rngs::SmallRng;
@@ -15,39 +16,39 @@
 use crate::rendezvous;
 use hawthornshift_model::InstanceId;
 
-/// Buckets of a view: with 430 instances one member that differs costs 13 others sent along.
+/// Number of hash buckets of a view. With 430 instances, one member that differs causes 13 others to be sent along.
 const BUCKETS: usize = 32;
-/// Key by which instances fall into buckets.
+/// Key of the hash that assigns instances to buckets.
 const BUCKET_KEY: u64 = 0x62_75_63_6b_65_74;
-/// Room for members in one message, in bytes: with its introduction it then fits a datagram.
-const PART_ROOM: usize = 1_250;
+/// Maximum size of the members in one message, in bytes; together with the sender's description it fits in a datagram.
+const MAX_PART_BYTES: usize = 1_250;
 
-/// Hashes of who an instance believes to live, one for each bucket of instance numbers.
+/// Hashes of the members that an instance considers alive or leaving, one per bucket of instance ids.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(transparent)]
 pub struct ViewDigest([u32; BUCKETS]);
 
 impl ViewDigest {
-    /// Returns one hash for the whole view.
+    /// Returns a single hash of the whole view.
     #[must_use]
-    pub fn whole(&self) -> u64 {
+    pub fn combined_hash(&self) -> u64 {
         self.0.iter().fold(0, |hash, bucket| rendezvous::score(hash, u64::from(*bucket)))
     }
 
     fn add(&mut self, update: &MemberUpdate) {
-        let class = match update.state {
+        let reported_state = match update.state {
             MemberState::Listed | MemberState::Dead => return,
             MemberState::Alive | MemberState::Suspect => MemberState::Alive as u64,
             MemberState::Leaving => MemberState::Leaving as u64,
         };
-        let life = rendezvous::score(u64::from(update.id), update.incarnation);
-        let hash = rendezvous::score(life, class);
+        let incarnation_hash = rendezvous::score(u64::from(update.id), update.incarnation);
+        let hash = rendezvous::score(incarnation_hash, reported_state);
         self.0[bucket(update.id)] ^= u32::try_from(hash >> 32).unwrap_or(u32::MAX);
     }
 }
 
-/// Returns what others are told of a member: a suspicion is no business of theirs.
-fn unsuspected(update: &MemberUpdate) -> MemberUpdate {
+/// Returns a member's state as sent to peers. Suspicions are local, so a suspected member is reported as alive.
+fn without_suspicion(update: &MemberUpdate) -> MemberUpdate {
     let state = if update.state == MemberState::Suspect { MemberState::Alive } else { update.state };
     MemberUpdate { state, ..update.clone() }
 }
@@ -57,13 +58,14 @@
 }
 
 impl Membership {
-    /// Returns all other instances that have been heard of, for one that has just started.
+    /// Returns all known instances other than those that are only listed by the platform, for a peer that has just
+    /// started.
     #[must_use]
     pub fn handover(&self) -> Vec<MemberUpdate> {
-        self.members().filter(|update| update.state != MemberState::Listed).map(unsuspected).collect()
+        self.members().filter(|update| update.state != MemberState::Listed).map(without_suspicion).collect()
     }
 
-    /// Returns the digest of the view here, this instance included.
+    /// Returns the digest of the local view, including this instance.
     #[must_use]
     pub fn digest(&self) -> ViewDigest {
         let mut digest = ViewDigest::default();
@@ -71,13 +73,14 @@
         digest
     }
 
-    /// Returns what is known here of the buckets in which a peer's view differs, in messages of a datagram each and at most
-    /// `most` of them.
+    /// Returns the known members of the buckets in which a peer's digest differs, as at most `max_parts` messages that
+    /// each fit in a datagram.
     ///
-    /// The dead go along, so that the peer can tell one that it has not heard of from one that it has outlived. Which bucket
-    /// comes first is drawn, for a peer that lacks more than it gets asks others as well.
+    /// Dead members are included so that the peer can distinguish a member it has not heard of from one that has died.
+    /// The first bucket is chosen at random, because a peer that lacks more than one answer holds also queries other
+    /// instances.
     #[must_use]
-    pub fn missing(&self, rng: &mut SmallRng, theirs: &ViewDigest, most: usize) -> Vec<Vec<MemberUpdate>> {
+    pub fn missing(&self, rng: &mut SmallRng, theirs: &ViewDigest, max_parts: usize) -> Vec<Vec<MemberUpdate>> {
         let ours = self.digest();
         let mut buckets: [Vec<&MemberUpdate>; BUCKETS] = [const { Vec::new() }; BUCKETS];
         for update in self.members().filter(|update| update.state != MemberState::Listed) {
@@ -88,19 +91,19 @@
         }
         buckets.rotate_left(rng.random_range(0..BUCKETS));
         let mut parts: Vec<Vec<MemberUpdate>> = Vec::new();
-        let mut room = 0;
+        let mut remaining_bytes = 0;
         for update in buckets.into_iter().flatten() {
             let bytes = update.max_encoded_len();
-            if bytes > room {
-                if parts.len() == most {
+            if bytes > remaining_bytes {
+                if parts.len() == max_parts {
                     break;
                 }
                 parts.push(Vec::new());
-                room = PART_ROOM;
+                remaining_bytes = MAX_PART_BYTES;
             }
-            room = room.saturating_sub(bytes);
+            remaining_bytes = remaining_bytes.saturating_sub(bytes);
             if let Some(part) = parts.last_mut() {
-                part.push(unsuspected(update));
+                part.push(without_suspicion(update));
             }
         }
         parts
--- a/crates/core/src/membership/dissemination.rs
+++ b/crates/core/src/membership/dissemination.rs
@@ -1,8 +1,8 @@
-//! Dissemination: which news of members rides on a heartbeat.
+//! Dissemination: which member updates are piggybacked on a heartbeat.
 //!
-//! Each piece is sent a few times more than the logarithm of the fleet's size, which reaches everybody with high
-//! probability. What was sent least goes first: an order by number would hold back the news of high numbers until that of
-//! low ones is done, for seconds in a large fleet that starts.
+//! As in SWIM, each update is sent a few times more than the logarithm of the fleet size, which reaches every member
+//! with high probability. The updates sent least often go first: an order by instance id would delay the updates of
+//! high ids until those of low ids are done, which takes seconds when a large fleet starts.
 
 use std::cmp::Reverse;
 
@@ -14,74 +14,77 @@
 use crate::message::MemberUpdate;
 use hawthornshift_model::InstanceId;
 
-/// How often each piece of news is passed on, beyond the logarithm of the fleet's size.
-const EXTRA_SENDS: u32 = 2;
-/// Room for news on one heartbeat, in bytes: with its introduction and its other fields it then fits a datagram.
-const NEWS_ROOM: usize = 1_100;
-/// Most members on one heartbeat to a peer whose view differs, where views are not compared in another way.
-const MAX_CATCH_UP: usize = 16;
+/// Number of times that each update is sent in addition to the logarithm of the fleet size.
+const EXTRA_TRANSMITS: u32 = 2;
+/// Maximum size of the updates on one heartbeat, in bytes; together with the sender's description and the other fields
+/// they fit in a datagram.
+const MAX_PIGGYBACK_BYTES: usize = 1_100;
+/// Maximum number of members on one heartbeat to a peer whose view differs, on paths that have no other way to compare
+/// views.
+const MAX_RANDOM_UPDATES: usize = 16;
 
-/// How a peer's view compares to the one here, as far as is known.
+/// How a peer's view compares to the local one, as far as is known.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum PeerView {
-    /// Nothing is known of it.
+    /// The peer's view is not known.
     Unknown,
-    /// It is the same.
+    /// The views are equal.
     Same,
-    /// It differs.
+    /// The views differ.
     Differs,
 }
 
 impl Membership {
-    /// Returns how often a piece of news is passed on.
-    pub(super) fn sends(&self) -> u32 {
-        let fleet = u32::try_from(self.members.len() + 1).unwrap_or(u32::MAX);
-        fleet.ilog2() + EXTRA_SENDS
+    /// Returns the number of times that an update is sent.
+    pub(super) fn transmit_limit(&self) -> u32 {
+        let fleet_size = u32::try_from(self.members.len() + 1).unwrap_or(u32::MAX);
+        fleet_size.ilog2() + EXTRA_TRANSMITS
     }
 
-    /// Returns the news that the next heartbeat to `to` carries: what was sent least, as much as fits.
+    /// Returns the updates to piggyback on the next heartbeat to `to`: those sent least often, as many as fit.
     ///
-    /// What is believed of the peer itself goes first unless it is that it lives. Only the peer can refute, and it has
-    /// to hear of a suspicion well before the suspicion time is over; by chance it would hear too late now and then,
-    /// and an instance that works would be buried.
+    /// The state recorded for the recipient itself goes first, unless it is alive. Only the recipient can refute a
+    /// suspicion, and it must learn of it well before the suspicion timeout. If the update were included only by
+    /// chance, it would sometimes arrive too late, and a working instance would be declared dead.
     ///
-    /// A peer with the same view needs nothing. That it has everything counts as one send of each piece, so that the news of
-    /// a whole fleet's start does not go on for long after everybody has it.
+    /// A peer with the same view needs no updates. It has them all, so each update counts as sent once; otherwise the
+    /// updates of a fleet's start would continue long after every member has received them.
     pub fn piggyback_updates(&mut self, to: InstanceId, view: PeerView) -> Vec<MemberUpdate> {
-        let believed = self.member(to).filter(|update| update.state > MemberState::Alive);
-        let mut news: Vec<MemberUpdate> = believed.cloned().into_iter().collect();
+        let recipient_state = self.member(to).filter(|update| update.state > MemberState::Alive);
+        let mut updates: Vec<MemberUpdate> = recipient_state.cloned().into_iter().collect();
         if view == PeerView::Same {
             let others = self.members.iter_mut().filter(|(id, _)| **id != to);
-            others.for_each(|(_, member)| member.sends_left = member.sends_left.saturating_sub(1));
-            return news;
+            others.for_each(|(_, member)| member.transmits_left = member.transmits_left.saturating_sub(1));
+            return updates;
         }
-        let mut room = NEWS_ROOM.saturating_sub(news.iter().map(MemberUpdate::max_encoded_len).sum());
+        let mut remaining_bytes =
+            MAX_PIGGYBACK_BYTES.saturating_sub(updates.iter().map(MemberUpdate::max_encoded_len).sum());
         let mut pending: Vec<(Reverse<u32>, InstanceId)> = self
             .members
             .iter()
-            .filter(|(id, member)| member.sends_left > 0 && **id != to)
-            .map(|(id, member)| (Reverse(member.sends_left), *id))
+            .filter(|(id, member)| member.transmits_left > 0 && **id != to)
+            .map(|(id, member)| (Reverse(member.transmits_left), *id))
             .collect();
         pending.sort_unstable();
         for (_, id) in pending {
             let Some(member) = self.members.get_mut(&id) else { continue };
             let bytes = member.update.max_encoded_len();
-            if bytes > room {
+            if bytes > remaining_bytes {
                 break;
             }
-            room -= bytes;
-            member.sends_left -= 1;
-            news.push(member.update.clone());
+            remaining_bytes -= bytes;
+            member.transmits_left -= 1;
+            updates.push(member.update.clone());
         }
-        news
+        updates
     }
 
-    /// Adds some members at random to the news for a peer whose view differs, which may lack any of them.
-    pub fn add_random_updates(&self, rng: &mut SmallRng, news: &mut Vec<MemberUpdate>) {
+    /// Adds random members to the updates for a peer whose view differs, since it may lack any of them.
+    pub fn add_random_updates(&self, rng: &mut SmallRng, updates: &mut Vec<MemberUpdate>) {
         let known = self.members.values().filter(|member| member.update.state != MemberState::Listed);
-        let more = known.map(|member| &member.update).filter(|update| !news.contains(update));
-        let more = more.choose_multiple(rng, MAX_CATCH_UP.saturating_sub(news.len()));
+        let more = known.map(|member| &member.update).filter(|update| !updates.contains(update));
+        let more = more.choose_multiple(rng, MAX_RANDOM_UPDATES.saturating_sub(updates.len()));
         let more: Vec<MemberUpdate> = more.into_iter().cloned().collect();
-        news.extend(more);
+        updates.extend(more);
     }
 }
--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -1,17 +1,18 @@
-//! Who serves: the platform's lagging list, refined by heartbeats.
+//! Cluster membership: the platform's instance list, which lags, refined by a SWIM-style failure detector.
 //!
-//! Each period an instance pings one other, in an order shuffled anew each round, so that the cost a node does not
-//! grow with the fleet and a silent one is found within about two periods whatever the size. A ping that is not
-//! answered is tried through two others, since a single broken path must not take an instance out of everybody's
-//! view. Only then is it suspected, and only when the suspicion time passes without it refuting that does it count as
-//! dead. News rides on heartbeats.
+//! In each period an instance pings one other, in an order that is reshuffled every round. The load per instance
+//! therefore does not grow with the fleet, and an unresponsive instance is found within about two periods at any fleet
+//! size. A ping without an ack is retried through two other instances, since a single broken path must not remove an
+//! instance from every view. Only then is the instance suspected, and it is declared dead only if it does not refute
+//! the suspicion before the timeout. Updates are piggybacked on heartbeats.
 //!
-//! - `failure_detector` pings, suspects and buries.
-//! - `dissemination` passes news on, a piece at a time on heartbeats.
-//! - `anti_entropy` compares whole views and brings what a peer lacks.
+//! - `failure_detector` pings members, suspects them and declares them dead.
+//! - `dissemination` piggybacks member updates on heartbeats.
+//! - `anti_entropy` compares whole views and transfers what a peer lacks.
 //!
-//! A life is told by its incarnation: a restart under the same id and address has a higher one, and everything said
-//! of the former life is void. Within a life only the instance itself raises its version, to refute.
+//! Each start of an instance has its own incarnation. A restart under the same id and address has a higher one, which
+//! invalidates all updates about the previous incarnation. Within an incarnation only the instance itself increments
+//! its version, to refute an update.
 
 mod anti_entropy;
 mod dissemination;
@@ -33,80 +34,80 @@
 use hawthornshift_model::Incarnation;
 use hawthornshift_model::InstanceId;
 
-/// Who this process is; from its settings.
+/// Identity of this process, from its settings.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Identity {
-    /// Number of the instance.
+    /// Id of the instance.
     pub id: InstanceId,
-    /// Its life.
+    /// Incarnation of this start of the instance.
     pub incarnation: Incarnation,
     /// Name of its failure domain.
     pub failure_domain: String,
-    /// Where it takes messages.
+    /// Address that receives messages between instances.
     pub control: SocketAddr,
-    /// Where it takes forwarded packets.
+    /// Address that receives forwarded packets.
     pub forward: SocketAddr,
 }
 
-/// What is known of one other instance.
+/// What is known of another instance.
 #[derive(Clone, Debug)]
 struct Member {
     update: MemberUpdate,
-    /// When it came to its present state.
+    /// When it entered its current state or, for a suspected member, when its suspicion timeout was last restarted.
     since: Timestamp,
-    /// Whether the platform's latest list names it.
+    /// Whether the platform's latest list contains it.
     listed: bool,
-    /// Heartbeats that the latest news still rides on.
-    sends_left: u32,
+    /// Number of heartbeats that its latest update will still be piggybacked on.
+    transmits_left: u32,
 }
 
-/// A ping that is waited for.
+/// A ping whose ack is pending.
 #[derive(Clone, Debug)]
 struct Probe {
     subject: InstanceId,
     sent: Timestamp,
     indirect: bool,
-    /// For whom the ping was sent, with that instance's number for it.
-    on_behalf: Option<(InstanceId, Sequence)>,
+    /// The instance that requested an indirect ping, and its sequence number for it.
+    requested_by: Option<(InstanceId, Sequence)>,
 }
 
-/// What membership wants sent; the node adds what rides on it.
+/// A probe message to send; the node adds the piggybacked contents.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ProbeMessage {
     /// A ping.
     Ping {
-        /// To whom.
+        /// The recipient.
         to: InstanceId,
-        /// Its number.
+        /// The ping's sequence number.
         sequence: Sequence,
     },
-    /// A request to ping another.
+    /// A request to ping another instance.
     IndirectPing {
-        /// To whom.
+        /// The recipient.
         to: InstanceId,
-        /// Its number.
+        /// The sequence number of the unanswered ping.
         sequence: Sequence,
-        /// Whom to ping.
+        /// The instance to ping.
         subject: InstanceId,
     },
-    /// Word that another has answered.
+    /// The ack to an indirect ping.
     IndirectAck {
-        /// To whom.
+        /// The recipient.
         to: InstanceId,
-        /// The asker's number.
+        /// The requester's sequence number.
         sequence: Sequence,
-        /// Who has answered.
+        /// The instance that responded.
         subject: InstanceId,
     },
 }
 
-/// Everything known of the other instances.
+/// This instance's view of all other instances.
 #[derive(Clone, Debug)]
 pub struct Membership {
     me: MemberUpdate,
     tuning: Tuning,
     members: BTreeMap<InstanceId, Member>,
-    round: Vec<InstanceId>,
+    probe_round: Vec<InstanceId>,
     probes: BTreeMap<Sequence, Probe>,
     next_sequence: Sequence,
     next_ping: Timestamp,
@@ -114,13 +115,13 @@
     list_version: u64,
     changes: Vec<(InstanceId, MemberState)>,
     superseded: bool,
-    /// Highest incarnation of this instance's id that a peer has named.
-    known_incarnation: Incarnation,
-    buried: bool,
+    /// Incarnation in the latest update that named a newer incarnation of this instance's id.
+    reported_incarnation: Incarnation,
+    declared_dead: bool,
 }
 
 impl Membership {
-    /// Starts with nobody known.
+    /// Creates a view without any other instance.
     #[must_use]
     pub fn new(identity: Identity, tuning: Tuning) -> Self {
         let me = MemberUpdate {
@@ -136,7 +137,7 @@
             me,
             tuning,
             members: BTreeMap::new(),
-            round: Vec::new(),
+            probe_round: Vec::new(),
             probes: BTreeMap::new(),
             next_sequence: 1,
             next_ping: Timestamp::ZERO,
@@ -144,12 +145,12 @@
             list_version: 0,
             changes: Vec::new(),
             superseded: false,
-            known_incarnation: 0,
-            buried: false,
+            reported_incarnation: 0,
+            declared_dead: false,
         }
     }
 
-    /// Returns this instance as it presents itself.
+    /// Returns this instance as it describes itself to peers.
     #[must_use]
     pub fn me(&self) -> &MemberUpdate {
         &self.me
@@ -166,7 +167,7 @@
         self.members.values().map(|member| &member.update)
     }
 
-    /// Returns the other instances that can be reached, leaving ones included.
+    /// Returns the other instances that are considered reachable, including leaving ones.
     pub fn reachable(&self) -> impl Iterator<Item = &MemberUpdate> {
         self.members().filter(|update| update.state.is_reachable())
     }
@@ -177,32 +178,32 @@
         self.list_version
     }
 
-    /// Tells whether a newer life of this instance's id exists.
+    /// Returns whether a newer incarnation of this instance's id exists.
     #[must_use]
     pub fn superseded(&self) -> bool {
         self.superseded
     }
 
-    /// Takes an incarnation above the one that others know.
+    /// Raises this instance's incarnation above the newer one that a peer reported.
     ///
-    /// For an instance that holds nothing a later life could contradict: its clock was set back before it started, and
-    /// it would else not be heard until the clock has caught up.
-    pub fn outlive(&mut self) {
-        self.me.incarnation = self.known_incarnation + 1;
+    /// Only for an instance that holds no state which a later incarnation could contradict. If its clock was set back
+    /// before it started, peers would otherwise ignore it until the clock has caught up.
+    pub fn raise_incarnation(&mut self) {
+        self.me.incarnation = self.reported_incarnation + 1;
         self.superseded = false;
     }
 
-    /// Tells, once, whether others counted this instance as dead since the last call.
+    /// Returns whether peers declared this instance dead since the last call, and resets the flag.
     pub fn take_declared_dead(&mut self) -> bool {
-        std::mem::take(&mut self.buried)
+        std::mem::take(&mut self.declared_dead)
     }
 
-    /// Returns and forgets the changes of state since the last call.
+    /// Returns and clears the state changes since the last call.
     pub fn take_changes(&mut self) -> Vec<(InstanceId, MemberState)> {
         std::mem::take(&mut self.changes)
     }
 
-    /// Returns the instances that serve, this one included, with their failure domains.
+    /// Returns the serving instances, including this one, with their failure domains.
     pub fn serving(&self) -> impl Iterator<Item = (ServingInstance, &str)> {
         let serves = |update: &&MemberUpdate| matches!(update.state, MemberState::Alive | MemberState::Suspect);
         let all = std::iter::once(&self.me).chain(self.members());
@@ -211,29 +212,31 @@
         })
     }
 
-    /// Tells whether word from a peer is fresh enough to trust the view, or no peer is believed to live.
+    /// Returns whether a message from a peer arrived within the lease, so that the view can be trusted, or no other
+    /// instance is considered alive.
     #[must_use]
     pub fn has_recent_contact(&self, now: Timestamp) -> bool {
         let alone = !self.members().any(|update| matches!(update.state, MemberState::Alive | MemberState::Suspect));
         alone || self.last_contact.is_some_and(|at| now.saturating_sub(at) < self.tuning.lease)
     }
 
-    /// Declares this instance to be leaving.
+    /// Marks this instance as leaving.
     pub fn leave(&mut self) {
         self.me.state = MemberState::Leaving;
         self.me.version += 1;
     }
 
-    /// Declares this instance to be gone; said to peers just before the process ends.
+    /// Marks this instance as dead, for the messages sent to peers just before the process exits.
     pub fn depart(&mut self) {
         self.me.state = MemberState::Dead;
         self.me.version += 1;
     }
 
-    /// Takes over the platform's list.
+    /// Applies the platform's instance list.
     ///
-    /// The list lags, so it adds candidates to ping and marks who may be forgotten; it makes nobody alive and nobody
-    /// dead. An entry marked as leaving is believed, since the platform says so before the instance itself does.
+    /// The list lags, so it only adds candidates to ping and determines which members may be removed; it never marks a
+    /// member alive or dead. A leaving mark is applied, because the platform sets it before the instance reports it
+    /// itself.
     pub fn apply_instance_list(&mut self, now: Timestamp, list: &InstanceList) {
         if list.version < self.list_version {
             return;
@@ -242,12 +245,12 @@
         self.members.values_mut().for_each(|member| member.listed = false);
         let me = self.me.id;
         for entry in list.instances.iter().filter(|entry| entry.id != me) {
-            self.list_entry(now, entry);
+            self.apply_list_entry(now, entry);
         }
     }
 
-    fn list_entry(&mut self, now: Timestamp, entry: &ListedInstance) {
-        let unheard = MemberUpdate {
+    fn apply_list_entry(&mut self, now: Timestamp, entry: &ListedInstance) {
+        let placeholder = MemberUpdate {
             id: entry.id,
             incarnation: 0,
             version: 0,
@@ -256,8 +259,12 @@
             control: entry.control,
             forward: entry.forward,
         };
-        let member =
-            self.members.entry(entry.id).or_insert(Member { update: unheard, since: now, listed: true, sends_left: 0 });
+        let member = self.members.entry(entry.id).or_insert(Member {
+            update: placeholder,
+            since: now,
+            listed: true,
+            transmits_left: 0,
+        });
         member.listed = true;
         if entry.leaving && member.update.state == MemberState::Alive {
             member.update.state = MemberState::Leaving;
@@ -266,11 +273,12 @@
         }
     }
 
-    /// Notes that a message came from an instance, which introduces itself on each.
+    /// Records that a message arrived from an instance, which describes itself in each message.
     pub fn message_received(&mut self, now: Timestamp, sender: &MemberUpdate) {
         self.last_contact = Some(now);
         self.merge_update(now, sender);
-        // A direct word ends a suspicion of our own; the subject refutes the rumour itself when it hears of it.
+        // A message from the subject restarts a local suspicion's timeout. The subject refutes the suspicion itself
+        // once it learns of it.
         if let Some(member) = self.members.get_mut(&sender.id) {
             let current = member.update.incarnation == sender.incarnation;
             if current && member.update.state == MemberState::Suspect {
@@ -279,26 +287,27 @@
         }
     }
 
-    /// Takes over news of several instances.
+    /// Merges the updates of several instances.
     pub fn merge_updates(&mut self, now: Timestamp, updates: &[MemberUpdate]) {
         for update in updates {
             self.merge_update(now, update);
         }
     }
 
-    /// Takes over news of an instance if it is newer than what is known.
+    /// Merges the update of an instance if it is newer than the known state.
     pub fn merge_update(&mut self, now: Timestamp, update: &MemberUpdate) {
         if update.id == self.me.id {
-            self.hear_of_myself(update);
+            self.handle_self_update(update);
             return;
         }
         if update.state == MemberState::Listed {
             return;
         }
-        let sends = self.sends();
+        let transmit_limit = self.transmit_limit();
         match self.members.get_mut(&update.id) {
             None => {
-                let member = Member { update: update.clone(), since: now, listed: false, sends_left: sends };
+                let member =
+                    Member { update: update.clone(), since: now, listed: false, transmits_left: transmit_limit };
                 self.members.insert(update.id, member);
                 self.changes.push((update.id, update.state));
             }
@@ -308,22 +317,22 @@
                     member.since = now;
                 }
                 member.update = update.clone();
-                member.sends_left = sends;
+                member.transmits_left = transmit_limit;
             }
             Some(_) => {}
         }
     }
 
-    /// Refutes what is said of this instance, or learns that a later life of it exists.
-    fn hear_of_myself(&mut self, update: &MemberUpdate) {
+    /// Refutes an update about this instance, or records that a newer incarnation of it exists.
+    fn handle_self_update(&mut self, update: &MemberUpdate) {
         if update.incarnation > self.me.incarnation {
             self.superseded = true;
-            self.known_incarnation = update.incarnation;
+            self.reported_incarnation = update.incarnation;
             return;
         }
         if update.incarnation == self.me.incarnation && update.rank() > self.me.rank() {
             self.me.version = update.version + 1;
-            self.buried |= update.state == MemberState::Dead;
+            self.declared_dead |= update.state == MemberState::Dead;
         }
     }
 }
