--- a/crates/core/src/direct/directory.rs
+++ b/crates/core/src/direct/directory.rs
@@ -296,7 +296,7 @@
         true
     }
 
-    /// Applies what a peer remembers of a target whose entry was removed from the store.
+    /// Applies a peer's copy of the last entry of a target that was removed from the store.
     fn apply_removed_target(&mut self, now: Timestamp, revision: Revision, id: TargetId, spec: &TargetSpec) -> bool {
         if self.targets.contains_key(&id) {
             return self.mark_missing(now, revision, id);
--- a/crates/core/src/direct/fleet/mod.rs
+++ b/crates/core/src/direct/fleet/mod.rs
@@ -74,8 +74,8 @@
 /// Maximum number of members that are notified directly when this instance shuts down; the others learn of it from
 /// heartbeats.
 const MAX_DEPARTURE_NOTICES: usize = 32;
-/// Maximum number of up-to-date peers that are remembered. It is large enough that instances which start together do
-/// not all contact the same few peers.
+/// Maximum number of up-to-date peers to keep. It is large enough that instances which start together do not all
+/// contact the same few peers.
 const MAX_UP_TO_DATE_PEERS: usize = 16;
 /// Key of the rendezvous hash that ranks instances for the watcher role.
 const WATCHER_RANK_KEY: u64 = 0x77_61_74_63_68;
@@ -173,8 +173,8 @@
     /// Returns whether other failure domains are reachable as far as this instance can tell: it recently received a
     /// message from one, or there are none.
     ///
-    /// An instance that has just started waits for a first message. If it assumed that domains it has not heard from
-    /// are reachable, it alone would attract all callers back to a failure domain that cannot serve anyone.
+    /// An instance that has just started waits for a first message. If it assumed that domains without any message so
+    /// far are reachable, it alone would attract all callers back to a failure domain that cannot serve anyone.
     #[must_use]
     pub fn reaches_other_domains(&self, now: Timestamp) -> bool {
         if now.saturating_sub(self.last_remote_domain_message.unwrap_or(self.started_at)) < REMOTE_SILENCE_LIMIT {
--- a/crates/core/src/membership/anti_entropy.rs
+++ b/crates/core/src/membership/anti_entropy.rs
@@ -76,9 +76,8 @@
     /// Returns the known members of the buckets in which a peer's digest differs, as at most `max_parts` messages that
     /// each fit in a datagram.
     ///
-    /// Dead members are included so that the peer can distinguish a member it has not heard of from one that has died.
-    /// The first bucket is chosen at random, because a peer that lacks more than one answer holds also queries other
-    /// instances.
+    /// Dead members are included so that the peer can distinguish an unknown member from one that has died. The first
+    /// bucket is chosen at random, because a peer that lacks more than one answer holds also queries other instances.
     #[must_use]
     pub fn missing(&self, rng: &mut SmallRng, theirs: &ViewDigest, max_parts: usize) -> Vec<Vec<MemberUpdate>> {
         let ours = self.digest();
