--- a/crates/core/src/coordinator.rs
+++ b/crates/core/src/coordinator.rs
@@ -1,11 +1,13 @@
-//! The targets that this instance keeps: their slots, their ramps and who waits for them.
+//! Request admission for the targets that this instance coordinates: slots, slow start and queues.
 //!
-//! Every target has one keeper at a time, the instance that ranks first for it in its failure domain, and every
-//! request to the target passes through it. So slots are counted, not guessed, and no message is spent on counting.
+//! Every target has one coordinator at a time: the instance that ranks first for it in the target's failure domain
+//! (see [`View::coordinator`]). Every request to the target passes through the coordinator. The coordinator can
+//! therefore count used slots exactly, and counting needs no messages.
 //!
-//! When the keeper changes, the former one may still run requests that the new one does not know of. The new one
-//! therefore gives the target nothing until the former has said what it still runs, or until the former, were it
-//! paused or cut off, must itself have stopped trusting its view.
+//! When the coordinator of a target changes, the former coordinator may still run requests that the new one does not
+//! know about. The new coordinator therefore holds the target: it starts no request there until the former coordinator
+//! has reported how many requests it still runs, or until the suspicion time has passed. A former coordinator that is
+//! paused or partitioned loses its lease within that time, because the lease is shorter than the suspicion time.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -34,115 +36,115 @@
 use hawthornshift_model::InstanceId;
 use hawthornshift_model::TargetId;
 
-/// Time between two health checks of a target.
-const PROBE_PERIOD: Duration = Duration::from_secs(1);
-/// Failures in a row after which a target counts as down.
+/// Mean time between two health checks of a target; each interval is jittered by 10 %.
+const HEALTH_CHECK_PERIOD: Duration = Duration::from_secs(1);
+/// Number of consecutive failures after which a target counts as down.
 const FAILURES_TO_DOWN: u32 = 3;
-/// How many times more answers a target must give to be taken for warm when it does not say so itself.
-const UNREPORTED_CAUTION: u32 = 10;
-/// Age at which a good answer no longer outweighs a failed health check.
-const ANSWER_WEIGHT: Duration = Duration::from_secs(2);
-/// Longest time that a former keeper's word of running requests counts.
-const RELEASE_LIFE: Duration = Duration::from_secs(30);
-
-/// How a try at a target ended, as far as it tells of the target's state.
+/// Factor on the successes that each slow-start step needs while the target does not report itself as warm.
+const UNREPORTED_SUCCESS_MULTIPLIER: u32 = 10;
+/// A failed health check is ignored if a request to the target succeeded less than this time ago.
+const RECENT_SUCCESS_WINDOW: Duration = Duration::from_secs(2);
+/// Time after which a former coordinator's report of running requests expires.
+const RELEASE_VALIDITY: Duration = Duration::from_secs(30);
+
+/// The outcome of an attempt to run a request at a target, as evidence about the target's state.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum AttemptOutcome {
-    /// It answered whole.
+    /// The target sent a complete answer.
     Success,
-    /// It refused for lack of capacity.
+    /// The target refused the request for lack of capacity.
     Shed,
-    /// It could not be reached, or broke off.
+    /// The target could not be reached, or the connection broke before the answer was complete.
     Failed,
-    /// The try was given up for reasons of our own.
+    /// The attempt was cancelled for a reason that does not concern the target.
     Cancelled,
 }
 
-/// What a former keeper has said.
+/// A former coordinator's report of the requests that it still runs at a target.
 #[derive(Clone, Copy, Debug)]
-struct Foreign {
+struct ReleaseReport {
     running: u32,
     until: Timestamp,
 }
 
-/// One target that this instance keeps.
+/// State of one target that this instance coordinates.
 #[derive(Clone, Debug)]
-struct Kept {
+struct CoordinatedTarget {
     group: GroupId,
     slots: u32,
-    /// Whether answers to requests tell of its state; else only its reports do.
+    /// Whether requests are sent to the target. If not, only its health reports show its state.
     takes_requests: bool,
     leaving: bool,
     running: u32,
-    foreign: BTreeMap<InstanceId, Foreign>,
-    hold_until: Timestamp,
-    ramp: SlowStartLimit,
+    release_reports: BTreeMap<InstanceId, ReleaseReport>,
+    held_until: Timestamp,
+    slow_start: SlowStartLimit,
     down: bool,
     reported: Option<HealthReport>,
     reported_load: Option<u32>,
     failures: u32,
-    last_good: Option<Timestamp>,
-    next_probe: Timestamp,
-    announced: Option<TargetStatus>,
+    last_success_at: Option<Timestamp>,
+    next_health_check_at: Timestamp,
+    last_published: Option<TargetStatus>,
 }
 
-impl Kept {
-    fn new(target: &TargetEntry, hold_until: Timestamp, next_probe: Timestamp) -> Self {
+impl CoordinatedTarget {
+    fn new(target: &TargetEntry, held_until: Timestamp, next_health_check_at: Timestamp) -> Self {
         Self {
             group: target.group_id,
             slots: target.slots,
             takes_requests: true,
             leaving: target.leaving,
             running: 0,
-            foreign: BTreeMap::new(),
-            hold_until,
-            // Nobody can know whether a target new to this keeper is warm; a few answers will tell.
-            ramp: SlowStartLimit::cold(target.slots),
+            release_reports: BTreeMap::new(),
+            held_until,
+            // A new coordinator does not know whether the target is warm, so it starts with the first step.
+            slow_start: SlowStartLimit::cold(target.slots),
             down: false,
             reported: None,
             reported_load: None,
             failures: 0,
-            last_good: None,
-            next_probe,
-            announced: None,
+            last_success_at: None,
+            next_health_check_at,
+            last_published: None,
         }
     }
 
-    fn foreign(&self, now: Timestamp) -> u32 {
-        let counted = self.foreign.values().filter(|foreign| now < foreign.until);
-        counted.map(|foreign| foreign.running).sum()
+    fn running_at_former(&self, now: Timestamp) -> u32 {
+        let counted = self.release_reports.values().filter(|report| now < report.until);
+        counted.map(|report| report.running).sum()
     }
 
     fn is_leaving(&self) -> bool {
         self.leaving || self.reported == Some(HealthReport::Leaving)
     }
 
-    /// Returns how many more requests the target can be given.
+    /// Returns how many more requests may start at the target.
     fn free(&self, now: Timestamp, lease_state: LeaseState) -> u32 {
-        if self.is_leaving() || self.down || now < self.hold_until || lease_state == LeaseState::Fenced {
+        if self.is_leaving() || self.down || now < self.held_until || lease_state == LeaseState::Fenced {
             return 0;
         }
-        // Cut off from every peer, another may keep the target too; a cold one would get the load of both.
-        if lease_state == LeaseState::Expired && !self.ramp.is_warm() {
+        // In a partition, another instance may coordinate the target too, and a cold target would get the load of both.
+        if lease_state == LeaseState::Expired && !self.slow_start.is_warm() {
             return 0;
         }
-        self.ramp.limit().min(self.slots).saturating_sub(self.running + self.foreign(now))
+        self.slow_start.limit().min(self.slots).saturating_sub(self.running + self.running_at_former(now))
     }
 
-    /// Returns how many times more answers than usual the next step of the ramp needs.
+    /// Returns the factor on the successes that the next slow-start step needs.
     ///
-    /// A target that does not say that it is warm is taken at its word for a good while, but not for ever: reports
+    /// The limit of a target that does not report itself as warm rises more slowly, but it does rise: health reports
     /// lag and can be wrong.
-    fn caution(&self) -> u32 {
-        if self.reported == Some(HealthReport::Warm) { 1 } else { UNREPORTED_CAUTION }
+    fn success_multiplier(&self) -> u32 {
+        if self.reported == Some(HealthReport::Warm) { 1 } else { UNREPORTED_SUCCESS_MULTIPLIER }
     }
 
     fn is_warm(&self) -> bool {
-        let proved = self.ramp.is_warm() || !self.takes_requests;
+        let ramped_up = self.slow_start.is_warm() || !self.takes_requests;
         match self.reported {
-            Some(HealthReport::Warm) => proved,
+            Some(HealthReport::Warm) => ramped_up,
             Some(HealthReport::Cold | HealthReport::Leaving) => false,
-            None => self.ramp.is_warm(),
+            None => self.slow_start.is_warm(),
         }
     }
 
@@ -159,7 +161,7 @@
     }
 }
 
-/// Requests that wait for a slot of one group, the highest class first.
+/// Requests that wait for a slot of one target group; the highest class is served first.
 #[derive(Clone, Debug, Default)]
 struct Queue {
     by_class: [VecDeque<RequestId>; Class::COUNT],
@@ -170,7 +172,7 @@
         self.by_class.iter().map(VecDeque::len).sum()
     }
 
-    /// Returns the requests that a new one of `class` would wait behind.
+    /// Returns the number of queued requests that are served before a new one of `class`.
     fn ahead_of(&self, class: Class) -> usize {
         self.by_class.iter().take(class as usize + 1).map(VecDeque::len).sum()
     }
@@ -187,152 +189,159 @@
         self.by_class.iter_mut().for_each(|queue| queue.retain(|queued| *queued != request));
     }
 
-    /// Takes out the last of the lowest class that is below `class`.
+    /// Removes and returns the newest request of the lowest queued class, if that class is lower than `class`.
     fn displace(&mut self, class: Class) -> Option<RequestId> {
         self.by_class.iter_mut().skip(class as usize + 1).rev().find_map(VecDeque::pop_back)
     }
 }
 
-/// What becomes of a request that asks for a slot.
+/// The decision on a request that needs a slot.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Admission {
-    /// It runs at this target now.
+    /// The request starts at this target now.
     Run(TargetId),
-    /// It waits.
+    /// The request is queued.
     Queued,
-    /// It waits in the place of one of a lower class, which is refused.
+    /// The request is queued and displaces this queued request of a lower class, which must be refused.
     QueuedInsteadOf(RequestId),
-    /// Too many wait already.
+    /// The queue is full.
     Full,
-    /// This instance keeps no usable target of the group.
+    /// This instance coordinates no usable target of the group.
     NoTarget,
 }
 
-/// The targets that this instance keeps.
+/// Admits requests to the targets that this instance coordinates.
 #[derive(Clone, Debug)]
 pub struct TargetCoordinator {
     me: InstanceId,
     tuning: Tuning,
-    kept: BTreeMap<TargetId, Kept>,
+    coordinated: BTreeMap<TargetId, CoordinatedTarget>,
     queues: BTreeMap<GroupId, Queue>,
-    /// Targets that another keeps now, with the requests that still run here.
+    /// Targets that another instance coordinates now, with the number of requests that this instance still runs there.
     released: BTreeMap<TargetId, u32>,
-    releases: BTreeSet<TargetId>,
+    /// Entries of `released` whose number has changed since [`TargetCoordinator::take_releases`] last returned it.
+    unreported_releases: BTreeSet<TargetId>,
     running: BTreeMap<RequestId, TargetId>,
 }
 
 impl TargetCoordinator {
-    /// Starts with no target.
+    /// Creates a coordinator without targets; `me` is this instance.
     #[must_use]
     pub fn new(me: InstanceId, tuning: Tuning) -> Self {
         Self {
             me,
             tuning,
-            kept: BTreeMap::new(),
+            coordinated: BTreeMap::new(),
             queues: BTreeMap::new(),
             released: BTreeMap::new(),
-            releases: BTreeSet::new(),
+            unreported_releases: BTreeSet::new(),
             running: BTreeMap::new(),
         }
     }
 
-    /// Returns the targets kept, as operators see them; `name` tells a target's name.
+    /// Returns the state of the coordinated targets for the dump; `name` maps a target to its display name.
     pub fn targets(&self, name: impl Fn(TargetId) -> String) -> Vec<CoordinatedTargetDump> {
-        let show = |(id, kept): (&TargetId, &Kept)| CoordinatedTargetDump {
+        let show = |(id, coordinated): (&TargetId, &CoordinatedTarget)| CoordinatedTargetDump {
             name: name(*id),
-            status: kept.status(),
-            running: kept.running,
-            limit: kept.ramp.limit(),
-            reported_load: kept.reported_load,
+            status: coordinated.status(),
+            running: coordinated.running,
+            limit: coordinated.slow_start.limit(),
+            reported_load: coordinated.reported_load,
         };
-        self.kept.iter().map(show).collect()
+        self.coordinated.iter().map(show).collect()
     }
 
-    /// Returns the requests that run at targets now.
+    /// Returns the number of requests that run at targets now, including those at released targets.
     #[must_use]
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// Returns the requests that wait.
+    /// Returns the number of queued requests.
     #[must_use]
     pub fn queued(&self) -> usize {
         self.queues.values().map(Queue::len).sum()
     }
 
-    /// Takes over the view: which targets this instance keeps, and what it must let go.
+    /// Applies a new view: acquires the targets that this instance now coordinates and releases the others.
     ///
-    /// Returns the requests that waited for groups of which nothing is kept any more.
+    /// Returns the queued requests of groups of which this instance no longer coordinates any target.
     pub fn view_changed(&mut self, now: Timestamp, view: &View, rng: &mut SmallRng) -> Vec<RequestId> {
         let catalog = view.catalog();
-        let mine: Vec<&TargetEntry> =
+        let own_targets: Vec<&TargetEntry> =
             catalog.targets().filter(|target| view.coordinator(target.id) == Some(self.me)).collect();
-        let keep: BTreeSet<TargetId> = mine.iter().map(|target| target.id).collect();
-        let gone: Vec<TargetId> = self.kept.keys().copied().filter(|id| !keep.contains(id)).collect();
-        for id in gone {
-            self.let_go(now, id);
+        let assigned: BTreeSet<TargetId> = own_targets.iter().map(|target| target.id).collect();
+        let lost: Vec<TargetId> = self.coordinated.keys().copied().filter(|id| !assigned.contains(id)).collect();
+        for id in lost {
+            self.release_target(now, id);
         }
-        for target in mine {
+        for target in own_targets {
             let takes_requests = catalog.group(target.group).takes_requests;
-            self.take_up(now, target, takes_requests, rng);
+            self.acquire_target(now, target, takes_requests, rng);
         }
-        self.strand_queues()
+        self.remove_orphaned_requests()
     }
 
-    fn let_go(&mut self, now: Timestamp, id: TargetId) {
-        let Some(kept) = self.kept.remove(&id) else { return };
-        // A target still on hold has a former keeper of its own, of which nothing is known; the next one has to
-        // wait out the hold itself.
-        if now < kept.hold_until {
+    fn release_target(&mut self, now: Timestamp, id: TargetId) {
+        let Some(coordinated) = self.coordinated.remove(&id) else { return };
+        // While the target is held, an earlier coordinator has not reported yet, so a release message would be
+        // incomplete. Without one, the next coordinator waits for its own hold to expire.
+        if now < coordinated.held_until {
             return;
         }
-        self.released.insert(id, kept.running + kept.foreign(now));
-        self.releases.insert(id);
-    }
-
-    fn take_up(&mut self, now: Timestamp, target: &TargetEntry, takes_requests: bool, rng: &mut SmallRng) {
-        let hold_until = now + self.tuning.suspicion;
-        let next_probe = now + PROBE_PERIOD.mul_f64(rng.random_range(0.0..0.2));
-        let carried = self.released.remove(&target.id);
-        self.releases.remove(&target.id);
-        let kept = self.kept.entry(target.id).or_insert_with(|| Kept::new(target, hold_until, next_probe));
-        if let Some(running) = carried {
-            kept.running = self.running.values().filter(|id| **id == target.id).count().try_into().unwrap_or(running);
+        self.released.insert(id, coordinated.running + coordinated.running_at_former(now));
+        self.unreported_releases.insert(id);
+    }
+
+    fn acquire_target(&mut self, now: Timestamp, target: &TargetEntry, takes_requests: bool, rng: &mut SmallRng) {
+        let held_until = now + self.tuning.suspicion;
+        let next_health_check_at = now + HEALTH_CHECK_PERIOD.mul_f64(rng.random_range(0.0..0.2));
+        let previously_running = self.released.remove(&target.id);
+        self.unreported_releases.remove(&target.id);
+        let coordinated = self
+            .coordinated
+            .entry(target.id)
+            .or_insert_with(|| CoordinatedTarget::new(target, held_until, next_health_check_at));
+        if let Some(running) = previously_running {
+            coordinated.running =
+                self.running.values().filter(|id| **id == target.id).count().try_into().unwrap_or(running);
         }
-        kept.group = target.group_id;
-        kept.takes_requests = takes_requests;
-        kept.leaving = target.leaving;
-        kept.slots = target.slots;
-        kept.ramp.resize(target.slots);
+        coordinated.group = target.group_id;
+        coordinated.takes_requests = takes_requests;
+        coordinated.leaving = target.leaving;
+        coordinated.slots = target.slots;
+        coordinated.slow_start.resize(target.slots);
     }
 
-    fn strand_queues(&mut self) -> Vec<RequestId> {
-        let mut stranded = Vec::new();
-        let kept_groups: BTreeSet<GroupId> = self.kept.values().map(|kept| kept.group).collect();
+    fn remove_orphaned_requests(&mut self) -> Vec<RequestId> {
+        let mut orphaned = Vec::new();
+        let coordinated_groups: BTreeSet<GroupId> =
+            self.coordinated.values().map(|coordinated| coordinated.group).collect();
         for (group, queue) in &mut self.queues {
-            if !kept_groups.contains(group) {
-                stranded.extend(std::iter::from_fn(|| queue.pop()));
+            if !coordinated_groups.contains(group) {
+                orphaned.extend(std::iter::from_fn(|| queue.pop()));
             }
         }
-        stranded
+        orphaned
     }
 
-    /// Notes what a target's former keeper still runs there.
+    /// Records how many requests the `former` coordinator of a target still runs there, and ends the target's hold.
     pub fn released_by(&mut self, now: Timestamp, former: InstanceId, target: TargetId, running: u32) {
-        let Some(kept) = self.kept.get_mut(&target) else { return };
-        kept.foreign.insert(former, Foreign { running, until: now + RELEASE_LIFE });
-        kept.hold_until = kept.hold_until.min(now);
+        let Some(coordinated) = self.coordinated.get_mut(&target) else { return };
+        coordinated.release_reports.insert(former, ReleaseReport { running, until: now + RELEASE_VALIDITY });
+        coordinated.held_until = coordinated.held_until.min(now);
     }
 
-    /// Returns what this instance still runs at targets that others keep now, where that has changed.
+    /// Returns the released targets with the number of requests that this instance still runs there, for those whose
+    /// number has changed since the last call.
     pub fn take_releases(&mut self) -> Vec<(TargetId, u32)> {
-        let changed = std::mem::take(&mut self.releases);
+        let changed = std::mem::take(&mut self.unreported_releases);
         let releases = changed.into_iter().map(|id| (id, self.released.get(&id).copied().unwrap_or(0))).collect();
         self.released.retain(|_, running| *running > 0);
         releases
     }
 
-    /// Finds a slot for a request, or a place to wait.
+    /// Starts a request at a target with a free slot, or queues it.
     pub fn admit(
         &mut self,
         now: Timestamp,
@@ -348,14 +357,17 @@
         {
             return Admission::Run(target);
         }
-        let members = self.kept.values().filter(|kept| kept.group == group && !kept.is_leaving() && !kept.down);
-        let slots: u32 = members.map(|kept| kept.slots).sum();
+        let members = self
+            .coordinated
+            .values()
+            .filter(|coordinated| coordinated.group == group && !coordinated.is_leaving() && !coordinated.down);
+        let slots: u32 = members.map(|coordinated| coordinated.slots).sum();
         if slots == 0 {
             return Admission::NoTarget;
         }
-        let most = self.tuning.queue_per_slot * usize::try_from(slots).unwrap_or(1);
+        let queue_limit = self.tuning.queue_per_slot * usize::try_from(slots).unwrap_or(1);
         let queue = self.queues.entry(group).or_default();
-        if queue.len() < most {
+        if queue.len() < queue_limit {
             queue.push(class, request);
             return Admission::Queued;
         }
@@ -364,7 +376,7 @@
         Admission::QueuedInsteadOf(displaced)
     }
 
-    /// Gives free slots to requests that wait; returns those that run now.
+    /// Starts queued requests while slots are free; returns the requests started and their targets.
     pub fn start_queued(
         &mut self,
         now: Timestamp,
@@ -383,7 +395,7 @@
         started
     }
 
-    /// Starts a request at the kept target with the most free slots.
+    /// Starts a request at the group's coordinated target with the most free slots.
     fn start(
         &mut self,
         now: Timestamp,
@@ -392,138 +404,141 @@
         lease_state: LeaseState,
         invariant_counters: &mut InvariantCounters,
     ) -> Option<TargetId> {
-        let members = self.kept.iter_mut().filter(|(_, kept)| kept.group == group);
-        let with_free =
-            members.map(|(id, kept)| (kept.free(now, lease_state), *id, kept)).filter(|(free, ..)| *free > 0);
-        let (_, id, kept) = with_free.max_by_key(|(free, id, _)| (*free, *id))?;
-        kept.running += 1;
-        invariant_counters.assert(!kept.is_leaving(), Invariant::LeavingTargetGetsNothing);
-        invariant_counters.assert(kept.running <= kept.slots, Invariant::SlotsWithinLimit);
-        invariant_counters.assert(kept.running <= kept.ramp.limit(), Invariant::ColdTargetWithinRamp);
+        let members = self.coordinated.iter_mut().filter(|(_, coordinated)| coordinated.group == group);
+        let with_free = members
+            .map(|(id, coordinated)| (coordinated.free(now, lease_state), *id, coordinated))
+            .filter(|(free, ..)| *free > 0);
+        let (_, id, coordinated) = with_free.max_by_key(|(free, id, _)| (*free, *id))?;
+        coordinated.running += 1;
+        invariant_counters.assert(!coordinated.is_leaving(), Invariant::LeavingTargetGetsNothing);
+        invariant_counters.assert(coordinated.running <= coordinated.slots, Invariant::SlotsWithinLimit);
+        invariant_counters
+            .assert(coordinated.running <= coordinated.slow_start.limit(), Invariant::ColdTargetWithinRamp);
         self.running.insert(request, id);
         Some(id)
     }
 
-    /// Returns the free slots of the group's targets kept here.
+    /// Returns the number of free slots at the group's coordinated targets.
     #[must_use]
     pub fn free_slots(&self, now: Timestamp, group: GroupId, lease_state: LeaseState) -> u32 {
-        let members = self.kept.values().filter(|kept| kept.group == group);
-        members.map(|kept| kept.free(now, lease_state)).sum()
+        let members = self.coordinated.values().filter(|coordinated| coordinated.group == group);
+        members.map(|coordinated| coordinated.free(now, lease_state)).sum()
     }
 
-    /// Returns the free slots less the requests that already wait for them.
+    /// Returns the number of free slots of the group minus the number of requests queued for them.
     #[must_use]
     pub fn spare_slots(&self, now: Timestamp, group: GroupId, lease_state: LeaseState) -> u32 {
         let waiting = self.queues.get(&group).map_or(0, Queue::len);
         self.free_slots(now, group, lease_state).saturating_sub(u32::try_from(waiting).unwrap_or(u32::MAX))
     }
 
-    /// Takes a request out of its queue.
+    /// Removes a request from its queue.
     pub fn remove_queued(&mut self, request: RequestId) {
         self.queues.values_mut().for_each(|queue| queue.remove(request));
     }
 
-    /// Notes that a request no longer runs, and what that tells of the target.
+    /// Frees the slot of a request that has ended, and updates the target's state with the outcome.
     pub fn attempt_ended(&mut self, now: Timestamp, request: RequestId, evidence: AttemptOutcome) {
         let Some(id) = self.running.remove(&request) else { return };
         if let Some(running) = self.released.get_mut(&id) {
             *running = running.saturating_sub(1);
-            self.releases.insert(id);
+            self.unreported_releases.insert(id);
             return;
         }
-        let Some(kept) = self.kept.get_mut(&id) else { return };
-        kept.running = kept.running.saturating_sub(1);
+        let Some(coordinated) = self.coordinated.get_mut(&id) else { return };
+        coordinated.running = coordinated.running.saturating_sub(1);
         match evidence {
             AttemptOutcome::Success => {
-                kept.failures = 0;
-                kept.down = false;
-                kept.last_good = Some(now);
-                kept.ramp.record_success(kept.caution());
+                coordinated.failures = 0;
+                coordinated.down = false;
+                coordinated.last_success_at = Some(now);
+                coordinated.slow_start.record_success(coordinated.success_multiplier());
             }
-            AttemptOutcome::Shed => kept.ramp.restart(),
+            AttemptOutcome::Shed => coordinated.slow_start.restart(),
             AttemptOutcome::Failed => {
-                kept.ramp.restart();
-                kept.failures += 1;
-                kept.down = kept.failures >= FAILURES_TO_DOWN;
+                coordinated.slow_start.restart();
+                coordinated.failures += 1;
+                coordinated.down = coordinated.failures >= FAILURES_TO_DOWN;
             }
             AttemptOutcome::Cancelled => {}
         }
     }
 
-    /// Returns the targets whose health check is due.
+    /// Returns the targets whose health check is due, and schedules their next one.
     pub fn due_health_checks(&mut self, now: Timestamp, rng: &mut SmallRng) -> Vec<TargetId> {
-        let due = self.kept.iter_mut().filter(|(_, kept)| now >= kept.next_probe);
-        let schedule = |(id, kept): (&TargetId, &mut Kept)| {
-            kept.next_probe = now + PROBE_PERIOD.mul_f64(rng.random_range(0.9..1.1));
+        let due = self.coordinated.iter_mut().filter(|(_, coordinated)| now >= coordinated.next_health_check_at);
+        let schedule = |(id, coordinated): (&TargetId, &mut CoordinatedTarget)| {
+            coordinated.next_health_check_at = now + HEALTH_CHECK_PERIOD.mul_f64(rng.random_range(0.9..1.1));
             *id
         };
         due.map(schedule).collect()
     }
 
-    /// Notes what a health check said; nothing when the target could not be reached.
+    /// Records the result of a health check; `report` is `None` if the target could not be reached.
     ///
-    /// A report can lag or lie. It may slow a target down at once, but only answers to requests speed it up, and a
-    /// failed check does not count against a target that has just answered.
+    /// A report can lag or be wrong. It can therefore lower the target's limit at once, but only successful requests
+    /// raise it, and a failed check is ignored if a request has just succeeded.
     pub fn record_health_check(&mut self, now: Timestamp, target: TargetId, report: Option<HealthReport>) {
-        let Some(kept) = self.kept.get_mut(&target) else { return };
-        let answered = kept.last_good.is_some_and(|at| now.saturating_sub(at) < ANSWER_WEIGHT);
+        let Some(coordinated) = self.coordinated.get_mut(&target) else { return };
+        let answered = coordinated.last_success_at.is_some_and(|at| now.saturating_sub(at) < RECENT_SUCCESS_WINDOW);
         let Some(report) = report else {
             if !answered {
-                kept.failures += 1;
-                kept.down = kept.failures >= FAILURES_TO_DOWN;
+                coordinated.failures += 1;
+                coordinated.down = coordinated.failures >= FAILURES_TO_DOWN;
             }
             return;
         };
-        if kept.down {
-            kept.down = false;
-            kept.ramp.restart();
+        if coordinated.down {
+            coordinated.down = false;
+            coordinated.slow_start.restart();
         }
-        kept.failures = 0;
-        let before = kept.reported.replace(report);
+        coordinated.failures = 0;
+        let before = coordinated.reported.replace(report);
         if report == HealthReport::Cold && before != Some(HealthReport::Cold) {
-            kept.ramp.restart();
+            coordinated.slow_start.restart();
         }
     }
 
-    /// Notes how many requests a target says it runs.
+    /// Records the number of running requests that a target reports.
     ///
-    /// It is shown to operators beside this instance's own count, and decides nothing: it lags, and slots are counted
-    /// here exactly. A lasting difference tells that someone else uses the target.
+    /// The dump shows it beside this instance's own count. No decision uses it, because it lags while the count here
+    /// is exact. A lasting difference means that requests reach the target by another path.
     pub fn record_reported_load(&mut self, target: TargetId, load: Option<u32>) {
-        if let Some(kept) = self.kept.get_mut(&target) {
-            kept.reported_load = load;
+        if let Some(coordinated) = self.coordinated.get_mut(&target) {
+            coordinated.reported_load = load;
         }
     }
 
-    /// Returns the states that have changed since the last call, or of all targets that are not warm.
+    /// Returns the status of targets whose status has changed since the last call with `only_changed`. Without
+    /// `only_changed`, the result also contains every target that is not warm, and nothing is marked as published.
     pub fn status_updates(&mut self, only_changed: bool) -> Vec<TargetStatusUpdate> {
         let mut news = Vec::new();
-        for (id, kept) in &mut self.kept {
-            let status = kept.status();
-            let changed = kept.announced != Some(status);
+        for (id, coordinated) in &mut self.coordinated {
+            let status = coordinated.status();
+            let changed = coordinated.last_published != Some(status);
             if changed || (!only_changed && status != TargetStatus::Warm) {
                 news.push(TargetStatusUpdate { target: *id, status });
             }
             if only_changed {
-                kept.announced = Some(status);
+                coordinated.last_published = Some(status);
             }
         }
         news
     }
 }
 
-/// A target that the node keeps.
+/// State of a coordinated target in the node's dump.
 #[derive(Clone, Debug, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct CoordinatedTargetDump {
-    /// Its name, after its group's.
+    /// Name of the target, prefixed with the name of its group.
     pub name: String,
-    /// Its state.
+    /// Status of the target.
     pub status: TargetStatus,
-    /// Requests running there.
+    /// Number of requests that run at the target.
     pub running: u32,
-    /// What its ramp allows.
+    /// Largest number of concurrent requests that slow start allows now.
     pub limit: u32,
-    /// Requests that it says it runs, when its health endpoint tells.
+    /// Number of running requests that the target's health endpoint reports, if it does.
     pub reported_load: Option<u32>,
 }
--- a/crates/core/src/flows/mod.rs
+++ b/crates/core/src/flows/mod.rs
@@ -1,25 +1,29 @@
-//! Datagram flows: which instance holds a flow, and which target it goes to.
+//! Datagram flows: which instance holds a flow, and which target the flow goes to.
 //!
-//! The fabric hands a packet to any instance. That instance computes the flow's *home* under its view and forwards
-//! the packet there; the home holds the record of the flow and the local port towards the target.
+//! The network fabric may deliver a packet to any instance. That instance computes the flow's *home* under its view
+//! and forwards the packet there. Normally the home holds the flow: it stores the flow's record and sends its packets
+//! to the target from a local port of its own.
 //!
 //! # Why a flow stays where it is
 //!
-//! A target tells a flow by the address it comes from. Moving a record to another instance changes that address, and
-//! many targets would take the flow for a new one. So a home keeps its flows when a view changes and only tells the
-//! new home where they are ([`advertise`]); it hands them over only when it stops or its domain is taken out.
+//! A target identifies a flow by its source address. If a record moved to another instance, that address would change,
+//! and many targets would treat the flow as a new one. After a view change an instance therefore keeps its flows and
+//! only advertises them to their new homes ([`advertise`]). It hands its flows over only when it stops or when its
+//! failure domain is taken out of service.
 //!
-//! # How packets find a flow while news travels
+//! # How packets find a flow during a view change
 //!
-//! For as long as earlier views are remembered, the new home asks their homes ([`chain`]): an unknown flow's packet goes
-//! to the home under each earlier view in turn, which either serves it or returns it. Only when all have returned it
-//! does the home take it for a new flow. Every forwarding lowers the packet's hops, so that no pair of views can loop; a
-//! packet out of hops whose flow is unknown starts a flow where it is, and that flow is told to its home like any
-//! other.
+//! While earlier views are remembered, the home of an unknown flow queries the homes under these views
+//! ([`view_history`]). It forwards the flow's packet to each of them in turn; each either serves the packet or returns
+//! it. The home opens a new flow only after all of them have returned the packet.
+//!
+//! Every forwarding reduces the packet's remaining hops, so that differing views cannot cause a forwarding loop. If a
+//! packet of an unknown flow has no hops left, the flow is opened at the instance that has the packet, and that
+//! instance advertises the flow to its home like any other.
 
 pub mod advertise;
-pub mod chain;
 pub mod table;
+pub mod view_history;
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -27,11 +31,11 @@
 use serde::Serialize;
 
 use self::advertise::Advertiser;
-use self::chain::Chain;
+use self::table::BindingIndex;
 use self::table::FlowTable;
-use self::table::Found;
 use self::table::Holder;
-use self::table::SeatIndex;
+use self::table::LookupResult;
+use self::view_history::ViewHistory;
 use crate::Timestamp;
 use crate::catalog::Catalog;
 use crate::catalog::ServiceEntry;
@@ -57,53 +61,56 @@
 use hawthornshift_model::ServiceId;
 use hawthornshift_model::TargetId;
 
-/// Hops a packet may take: to the home, to and from each earlier home, and to a holder.
+/// Maximum number of times a packet is forwarded: to the home, to and from each earlier home, and to the holder.
 pub const MAX_HOPS: u8 = 10;
-/// Time after which nothing goes to an instance whose failure domain is out.
-const OUT_GRACE: Timestamp = Timestamp::from_secs(2);
+/// Time since the active set was adopted after which no packet is forwarded to an instance whose failure domain is out
+/// of service.
+const OUT_OF_SERVICE_GRACE: Timestamp = Timestamp::from_secs(2);
 
-/// What the flow decisions look at besides their own state.
+/// The state outside [`Flows`] on which its decisions depend.
 #[derive(Clone, Copy)]
 pub struct FlowContext<'a> {
-    /// The view in force.
+    /// The current view.
     pub view: &'a View,
-    /// The other instances.
+    /// Membership state of the other instances.
     pub members: &'a Membership,
-    /// News of targets.
+    /// Last known status of the targets.
     pub health: &'a TargetStatusCache,
-    /// When the set in force was adopted.
+    /// Time at which the active set was adopted.
     pub adopted_at: Timestamp,
-    /// Whether this instance decides nothing until its view is confirmed.
+    /// Whether this instance drops packets until a peer has confirmed its view.
     pub fenced: bool,
 }
 
-/// Counts of what became of flows and packets.
+/// Counters of flows and packets since the start of the node.
 #[derive(Clone, Debug, Default, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct FlowCounts {
-    /// Flows started here.
+    /// Flows opened here.
     pub opened: u64,
-    /// Flows given up because their failure domain was taken out.
+    /// Flows abandoned because their failure domain was taken out of service or their target's address was reused.
     pub given_up: u64,
-    /// Flows forgotten because they were silent.
+    /// Flows removed after the idle timeout of their service.
     pub expired: u64,
     /// Flows taken over from another instance.
     pub taken_over: u64,
     /// Flows handed over to another instance.
     pub handed_over: u64,
-    /// Flows told to their home but kept here.
-    pub told: u64,
-    /// Packets sent on to another instance.
+    /// Advertisements of flows that stay here, each confirmed by its receiver.
+    #[serde(rename = "told")]
+    pub advertised: u64,
+    /// Packets forwarded to another instance.
     pub forwarded: u64,
-    /// Packets sent to an earlier home.
-    pub asked: u64,
-    /// Flows that a second instance held too.
+    /// Packets forwarded to the home under an earlier view as a query.
+    #[serde(rename = "asked")]
+    pub queried: u64,
+    /// Received records of flows for which a record of another holder existed.
     pub conflicts: u64,
-    /// Dropped packets by reason.
+    /// Packets dropped, by reason.
     pub dropped: BTreeMap<DropReason, u64>,
 }
 
-/// A packet whose flow is to be found.
+/// A packet that needs a decision.
 #[derive(Clone, Copy, Debug)]
 struct Packet {
     now: Timestamp,
@@ -114,7 +121,7 @@
 }
 
 impl Packet {
-    /// Returns which of the earlier homes is asked next.
+    /// Returns the position of the earlier home that is queried next.
     fn next_position(&self) -> u8 {
         match self.purpose {
             ForwardPurpose::Return { position } => position.saturating_add(1),
@@ -127,71 +134,72 @@
     }
 }
 
-/// All flows of one instance.
+/// The flows that one instance holds or knows about.
 #[derive(Clone, Debug)]
 pub struct Flows {
     me: InstanceId,
     table: FlowTable,
-    chain: Chain,
+    view_history: ViewHistory,
     advertiser: Advertiser,
-    ramps: BTreeMap<TargetId, SlowStartLimit>,
-    /// When this instance woke from a pause. Another may have taken over the flows that had no packet since.
-    doubted: Option<Timestamp>,
+    slow_starts: BTreeMap<TargetId, SlowStartLimit>,
+    /// Time at which this instance resumed from a pause. Another instance may have taken over those flows whose last
+    /// packet was before it.
+    unconfirmed_before: Option<Timestamp>,
     counts: FlowCounts,
 }
 
 impl Flows {
-    /// Starts with no flow.
+    /// Creates an empty set of flows; `me` is this instance.
     #[must_use]
     pub fn new(me: InstanceId, tuning: &Tuning) -> Self {
         Self {
             me,
             table: FlowTable::new(tuning.flow_capacity),
-            chain: Chain::new(tuning.view_memory),
+            view_history: ViewHistory::new(tuning.view_memory),
             advertiser: Advertiser::default(),
-            ramps: BTreeMap::new(),
-            doubted: None,
+            slow_starts: BTreeMap::new(),
+            unconfirmed_before: None,
             counts: FlowCounts::default(),
         }
     }
 
-    /// Returns the flows held here.
+    /// Returns the number of flows held here.
     #[must_use]
     pub fn held(&self) -> usize {
         self.table.held()
     }
 
-    /// Returns the flows known to be held elsewhere.
+    /// Returns the number of flows known to be held by other instances.
     #[must_use]
     pub fn elsewhere(&self) -> usize {
         self.table.elsewhere()
     }
 
-    /// Returns the earlier views that still matter.
+    /// Returns the number of earlier views that are remembered.
     #[must_use]
     pub fn earlier_views(&self) -> usize {
-        self.chain.len()
+        self.view_history.len()
     }
 
-    /// Returns the counts since start.
+    /// Returns the counters since the start of the node.
     #[must_use]
     pub fn counts(&self) -> &FlowCounts {
         &self.counts
     }
 
-    /// Tells whether nothing is left to tell or hand over.
+    /// Returns whether nothing is left to advertise or hand over.
     #[must_use]
     pub fn settled(&self) -> bool {
         self.advertiser.is_done()
     }
 
-    /// Returns the flows held here that go to a target.
+    /// Returns the number of flows held here that go to a target.
     #[must_use]
     pub fn held_for(&self, target: TargetId) -> u32 {
         self.table.held_for(target)
     }
 
-    /// Decides on a packet from a caller.
+    /// Returns the action for a packet from a caller.
     pub fn caller_packet(
         &mut self,
         now: Timestamp,
@@ -203,7 +211,7 @@
         self.decide(packet, cx, invariant_counters)
     }
 
-    /// Decides on a packet from another instance.
+    /// Returns the action for a packet forwarded by another instance.
     pub fn forwarded_packet(
         &mut self,
         now: Timestamp,
@@ -224,11 +232,11 @@
         cx: FlowContext<'_>,
         invariant_counters: &mut InvariantCounters,
     ) -> PacketAction {
-        let fate = self.decide_unchecked(packet, cx, invariant_counters);
-        if let PacketAction::Forward { head, .. } = fate {
+        let action = self.decide_unchecked(packet, cx, invariant_counters);
+        if let PacketAction::Forward { head, .. } = action {
             invariant_counters.assert(head.hops_left < packet.hops_left, Invariant::ForwardingEnds);
         }
-        fate
+        action
     }
 
     fn decide_unchecked(
@@ -243,34 +251,36 @@
         if cx.fenced {
             return self.drop(DropReason::Fenced);
         }
-        let doubted = self.doubted.filter(|_| !packet.is_returned());
-        let found = self.table.touch(packet.now, &packet.key, doubted);
+        let unconfirmed_before = self.unconfirmed_before.filter(|_| !packet.is_returned());
+        let found = self.table.touch(packet.now, &packet.key, unconfirmed_before);
         let known = found.and_then(|found| self.decide_known(packet, found, cx, invariant_counters));
         known.unwrap_or_else(|| self.decide_unknown(packet, service, cx, invariant_counters))
     }
 
-    /// Decides on a packet whose flow is known here; returns nothing when what is known no longer holds.
+    /// Returns the action for a packet whose flow has a record here, or `None` if the record was out of date and has
+    /// been removed.
     fn decide_known(
         &mut self,
         packet: Packet,
-        found: Found,
+        found: LookupResult,
         cx: FlowContext<'_>,
         invariant_counters: &mut InvariantCounters,
     ) -> Option<PacketAction> {
         match found.holder {
             Holder::Here { seat, local_port } => {
-                let asked = found.doubtful.then(|| self.ask_earlier_home(packet, packet.key.hash64(), cx));
-                asked.flatten().or_else(|| self.send_held(packet, seat, local_port, cx, invariant_counters))
+                let queried = found.unconfirmed.then(|| self.query_earlier_home(packet, packet.key.hash64(), cx));
+                queried.flatten().or_else(|| self.send_held(packet, seat, local_port, cx, invariant_counters))
             }
             Holder::Instance(holder) => self.send_to_holder(packet, holder, cx),
         }
     }
 
-    /// Sends a held flow's packet to its target, or gives the flow up when it may get no more.
+    /// Sends a packet of a flow held here to its target. If the target is blocked for the flow, abandons the flow and
+    /// returns `None`.
     fn send_held(
         &mut self,
         packet: Packet,
-        seat: SeatIndex,
+        seat: BindingIndex,
         local_port: LocalPort,
         cx: FlowContext<'_>,
         invariant_counters: &mut InvariantCounters,
@@ -283,20 +293,21 @@
         }
         invariant_counters.assert(seat.service() == packet.key.service, Invariant::PacketStaysWithService);
         if cfg!(debug_assertions) {
-            // Too slow for every packet in release, where the block of the seat stands for it.
-            let in_service = cx.view.catalog().domain_in_service(&seat.note().failure_domain);
+            // This look-up is too slow for every packet in release builds, which rely on `block` alone.
+            let in_service = cx.view.catalog().domain_in_service(&seat.descriptor().failure_domain);
             invariant_counters.assert(in_service, Invariant::OutDomainSilent);
         }
-        Some(PacketAction::ToTarget { local_port, target: seat.note().address })
+        Some(PacketAction::ToTarget { local_port, target: seat.descriptor().address })
     }
 
-    /// Sends a packet on to the instance that holds its flow, or forgets a holder that is gone.
+    /// Forwards a packet to the instance that holds its flow. If the holder cannot be used, removes the record and
+    /// returns `None`.
     fn send_to_holder(&mut self, packet: Packet, holder: InstanceId, cx: FlowContext<'_>) -> Option<PacketAction> {
         if let (ForwardPurpose::Ask { position }, true) = (packet.purpose, packet.from == Some(holder)) {
-            // The holder has woken from a pause and asks whether anyone else has taken the flow: nobody has.
+            // The holder has resumed from a pause and queries whether another instance took over the flow, but none has.
             return self.forward(packet, holder, ForwardPurpose::Return { position }, cx);
         }
-        let usable = may_get_packets(packet.now, holder, cx) && packet.hops_left > 0 && packet.from != Some(holder);
+        let usable = may_forward_to(packet.now, holder, cx) && packet.hops_left > 0 && packet.from != Some(holder);
         if !usable {
             self.table.remove(packet.now, &packet.key);
             return None;
@@ -304,7 +315,7 @@
         self.forward(packet, holder, ForwardPurpose::ToHolder, cx)
     }
 
-    /// Decides on a packet whose flow is not known here.
+    /// Returns the action for a packet whose flow has no record here.
     fn decide_unknown(
         &mut self,
         packet: Packet,
@@ -313,9 +324,9 @@
         invariant_counters: &mut InvariantCounters,
     ) -> PacketAction {
         let hash = packet.key.hash64();
-        if let (ForwardPurpose::Ask { position }, Some(asker)) = (packet.purpose, packet.from) {
-            let fate = self.forward(packet, asker, ForwardPurpose::Return { position }, cx);
-            return fate.unwrap_or_else(|| self.drop(DropReason::TooManyHops));
+        if let (ForwardPurpose::Ask { position }, Some(querier)) = (packet.purpose, packet.from) {
+            let action = self.forward(packet, querier, ForwardPurpose::Return { position }, cx);
+            return action.unwrap_or_else(|| self.drop(DropReason::TooManyHops));
         }
         let Some(home) = cx.view.home(hash, service) else {
             return self.drop(DropReason::NoHome);
@@ -323,29 +334,29 @@
         if home != self.me
             && packet.hops_left > 0
             && !packet.is_returned()
-            && let Some(fate) = self.forward(packet, home, ForwardPurpose::ToHome, cx)
+            && let Some(action) = self.forward(packet, home, ForwardPurpose::ToHome, cx)
         {
-            return fate;
+            return action;
         }
-        if let Some(fate) = self.ask_earlier_home(packet, hash, cx) {
-            return fate;
+        if let Some(action) = self.query_earlier_home(packet, hash, cx) {
+            return action;
         }
         self.open(packet, hash, service, cx, invariant_counters)
     }
 
-    /// Sends the packet of an unknown flow to the next earlier home that may hold it.
-    fn ask_earlier_home(&mut self, packet: Packet, hash: u64, cx: FlowContext<'_>) -> Option<PacketAction> {
-        // The answer needs a hop of its own.
+    /// Forwards the packet as a query to the next earlier home that may hold its flow, if there is one.
+    fn query_earlier_home(&mut self, packet: Packet, hash: u64, cx: FlowContext<'_>) -> Option<PacketAction> {
+        // One hop for the query and one for the returned packet.
         if packet.hops_left < 2 {
             return None;
         }
-        let candidates = self.chain.candidates(packet.key.service, hash, self.me);
+        let candidates = self.view_history.candidates(packet.key.service, hash, self.me);
         let mut candidates = candidates.into_iter().enumerate().skip(packet.next_position().into());
-        let (position, earlier) = candidates.find(|(_, earlier)| may_get_packets(packet.now, *earlier, cx))?;
+        let (position, earlier) = candidates.find(|(_, earlier)| may_forward_to(packet.now, *earlier, cx))?;
         let position = u8::try_from(position).ok()?;
-        let fate = self.forward(packet, earlier, ForwardPurpose::Ask { position }, cx)?;
-        self.counts.asked += 1;
-        Some(fate)
+        let action = self.forward(packet, earlier, ForwardPurpose::Ask { position }, cx)?;
+        self.counts.queried += 1;
+        Some(action)
     }
 
     fn forward(
@@ -363,7 +374,7 @@
         Some(PacketAction::Forward { address, head })
     }
 
-    /// Starts a flow here.
+    /// Opens a new flow here.
     fn open(
         &mut self,
         packet: Packet,
@@ -377,26 +388,27 @@
         };
         invariant_counters.assert(!target.leaving, Invariant::LeavingTargetGetsNothing);
         invariant_counters.assert(cx.view.catalog().domains()[target.domain].in_service, Invariant::OutDomainSilent);
-        let note = note(cx.view.catalog(), target);
-        let Some(local_port) = self.table.insert_here(packet.now, packet.key, &note, 0) else {
+        let descriptor = describe_target(cx.view.catalog(), target);
+        let Some(local_port) = self.table.insert_here(packet.now, packet.key, &descriptor, 0) else {
             return self.drop(DropReason::TableFull);
         };
         self.counts.opened += 1;
-        self.note_stray(hash, service, cx);
+        self.mark_misplaced(hash, service, cx);
         PacketAction::ToTarget { local_port, target: target.address }
     }
 
-    /// Has a flow told to its home if that is another instance.
-    fn note_stray(&mut self, hash: u64, service: &ServiceEntry, cx: FlowContext<'_>) {
+    /// Schedules the advertisement of a flow held here if its home is another instance.
+    fn mark_misplaced(&mut self, hash: u64, service: &ServiceEntry, cx: FlowContext<'_>) {
         if cx.view.home(hash, service) != Some(self.me) {
-            self.advertiser.note_stray();
+            self.advertiser.mark_misplaced();
         }
     }
 
-    /// Chooses a new flow's target among those of its failure domain.
+    /// Chooses the target of a new flow among the targets in the flow's failure domain.
     ///
-    /// The first choice is the plain hash, so that a crashed home's successor comes to the same target without a
-    /// message. A target that is cold, full, down or leaving is passed over for the next by rank.
+    /// The targets are ranked by rendezvous hashing alone, so that the successor of a crashed home chooses the same
+    /// target without a message. Targets that are down, leaving or at their limit are skipped; the limit of a cold
+    /// target is lower.
     fn choose_target<'a>(
         &mut self,
         now: Timestamp,
@@ -406,31 +418,32 @@
     ) -> Option<&'a TargetEntry> {
         let catalog = cx.view.catalog();
         let domain = catalog.domain_of(hash, service)?;
-        let members = &catalog.group(service.group).by_domain[domain];
-        let seats = u32::try_from(cx.view.serving_for(domain).len()).unwrap_or(1).max(1);
-        let targets = members.iter().filter_map(|id| catalog.target(*id)).filter(|target| !target.leaving);
+        let target_ids = &catalog.group(service.group).by_domain[domain];
+        let instances = u32::try_from(cx.view.serving_for(domain).len()).unwrap_or(1).max(1);
+        let targets = target_ids.iter().filter_map(|id| catalog.target(*id)).filter(|target| !target.leaving);
         let mut ranked: Vec<_> = targets.map(|target| (rendezvous::score(hash, target.id), target)).collect();
         ranked.sort_unstable_by_key(|(score, target)| std::cmp::Reverse((*score, target.id)));
-        let free = ranked.iter().find(|(_, target)| self.takes_flow(now, target, seats, cx.health));
+        let free = ranked.iter().find(|(_, target)| self.takes_flow(now, target, instances, cx.health));
         free.map(|(_, target)| *target)
     }
 
-    /// Tells whether a target can take one more flow from this instance.
-    fn takes_flow(&mut self, now: Timestamp, target: &TargetEntry, seats: u32, health: &TargetStatusCache) -> bool {
-        let share = (target.connections / seats).max(1);
-        let ramp = self.ramps.entry(target.id).or_insert_with(|| SlowStartLimit::warm(share));
-        ramp.resize(share);
+    /// Returns whether a target can take one more flow from this instance, which may use an equal share of the target's
+    /// connections.
+    fn takes_flow(&mut self, now: Timestamp, target: &TargetEntry, instances: u32, health: &TargetStatusCache) -> bool {
+        let share = (target.connections / instances).max(1);
+        let slow_start = self.slow_starts.entry(target.id).or_insert_with(|| SlowStartLimit::warm(share));
+        slow_start.resize(share);
         match health.status(now, target.id) {
             Some(TargetStatus::Down | TargetStatus::Leaving) => return false,
-            Some(TargetStatus::Cold) if ramp.is_warm() => ramp.restart(),
+            Some(TargetStatus::Cold) if slow_start.is_warm() => slow_start.restart(),
             Some(TargetStatus::Cold) => {}
-            Some(TargetStatus::Warm) | None => *ramp = SlowStartLimit::warm(share),
+            Some(TargetStatus::Warm) | None => *slow_start = SlowStartLimit::warm(share),
         }
-        let limit = ramp.limit();
+        let limit = slow_start.limit();
         self.held_for(target.id) < limit
     }
 
-    /// Decides on a packet from a target.
+    /// Returns the action for a packet from a target.
     pub fn target_packet(
         &mut self,
         now: Timestamp,
@@ -441,15 +454,15 @@
         if fenced {
             return self.drop(DropReason::Fenced);
         }
-        let Some((key, seat)) = self.table.find_by_channel(now, target, local_port, self.doubted) else {
+        let Some((key, seat)) = self.table.find_by_channel(now, target, local_port, self.unconfirmed_before) else {
             return self.drop(DropReason::NoFlow);
         };
         if seat.block().is_some() {
             return self.drop(DropReason::DomainOut);
         }
-        let id = seat.note().id;
-        if let Some(ramp) = self.ramps.get_mut(&id) {
-            ramp.record_success(1);
+        let id = seat.descriptor().id;
+        if let Some(slow_start) = self.slow_starts.get_mut(&id) {
+            slow_start.record_success(1);
         }
         PacketAction::ToCaller { service: key.service, caller: key.caller }
     }
@@ -459,37 +472,43 @@
         PacketAction::Drop(reason)
     }
 
-    /// Takes note that the view has changed: the former one joins the chain, and all flows are looked at anew.
+    /// Handles a view change: remembers the `former` view, checks all targets against `catalog` and starts to advertise
+    /// all flows again.
     pub fn view_changed(&mut self, now: Timestamp, former: View, catalog: &Catalog) {
-        self.chain.remember(now, former);
+        self.view_history.remember(now, former);
         self.table.revalidate(catalog);
         self.advertiser.restart();
     }
 
-    /// Takes note that this instance has found its place: whatever flows there are, the homes of the fleet without it
-    /// hold them.
+    /// Handles the end of the join: replaces the earlier views by `before`, the view without this instance. The homes
+    /// under that view hold the existing flows.
     pub fn joined(&mut self, now: Timestamp, before: View) {
-        self.chain.restart(now, before);
+        self.view_history.restart(now, before);
     }
 
-    /// Has all flows told again: others counted this instance as dead, and have forgotten what it holds.
+    /// Advertises all flows again, because other instances declared this instance dead and dropped their records of its
+    /// flows.
     pub fn readvertise(&mut self) {
         self.advertiser.restart();
     }
 
-    /// Takes note that this instance woke from a pause, during which the fleet without it may have taken over its
-    /// flows: those without a packet since are asked for before they are served from here.
+    /// Handles the end of a pause of this process; `before` is the view without this instance.
+    ///
+    /// During the pause other instances may have taken over its flows. For flows without a packet since then, the
+    /// earlier homes are queried before this instance serves them.
     pub fn woke(&mut self, now: Timestamp, before: View) {
-        self.doubted = Some(now);
-        self.chain.remember(now, before);
+        self.unconfirmed_before = Some(now);
+        self.view_history.remember(now, before);
         self.advertiser.restart();
     }
 
-    /// Takes over a batch of flows, or notes where they are; returns the records that have to go.
+    /// Applies a batch from another instance: takes its flows over, or records that the sender holds them. Returns the
+    /// conflicting records that must be dropped.
     ///
-    /// Two instances can come to hold one flow: each side of a partition starts it, or a packet overtakes the word of
-    /// where it is. Left alone, packets would go to one target or the other depending on where they enter, so one of
-    /// the records has to go ([`crate::message::FlowDescriptor::supersedes`]). The flow's home is told of both, and decides.
+    /// Two instances can hold the same flow: both sides of a partition open it, or a packet arrives before the
+    /// advertisement of its flow. Without a resolution, packets would reach either target, depending on the instance
+    /// that receives them from the network. One of the records must therefore be dropped. The flow's home receives both
+    /// advertisements and decides by [`crate::message::FlowDescriptor::supersedes`].
     pub fn apply_batch(
         &mut self,
         now: Timestamp,
@@ -500,7 +519,7 @@
         let mut superseded = Superseded::default();
         for flow in &batch.flows {
             let key = FlowKey { service: batch.service, caller: flow.caller };
-            let known = self.table.note(now, &key).filter(|(holder, _)| *holder != Holder::Instance(from));
+            let known = self.table.descriptor(now, &key).filter(|(holder, _)| *holder != Holder::Instance(from));
             self.counts.conflicts += u64::from(known.is_some());
             match known {
                 Some((_, known)) if known.supersedes(flow) => {
@@ -517,17 +536,18 @@
             }
         }
         if batch.handover {
-            // A target taken over may be one that this instance's set has already closed; word of a flow that stays
-            // elsewhere brings no target.
+            // The target of the flows taken over may already be out of service in this instance's set. An advertisement
+            // without a handover adds no target.
             self.table.revalidate(cx.view.catalog());
         }
         superseded
     }
 
-    /// Drops records that another instance's hold over; answers to them still pass for a while.
+    /// Drops the records of these callers' flows, which records of another instance supersede. Answers from the target
+    /// are still passed on for a limited time.
     pub fn superseded(&mut self, now: Timestamp, service: ServiceId, callers: &[SocketAddr]) {
         for caller in callers {
-            self.table.give_away(now, &FlowKey { service, caller: *caller });
+            self.table.mark_handed_over(now, &FlowKey { service, caller: *caller });
         }
     }
 
@@ -536,45 +556,46 @@
             self.counts.taken_over += 1;
         }
         if let Some(service) = cx.view.catalog().service(key.service) {
-            self.note_stray(key.hash64(), service, cx);
+            self.mark_misplaced(key.hash64(), service, cx);
         }
     }
 
-    /// Notes that a batch has arrived; flows handed over, or superseded by an elder record, are no longer held here.
+    /// Handles the confirmation of a batch. Flows that were handed over, or whose records are superseded by older ones,
+    /// are no longer held here.
     pub fn batch_acknowledged(&mut self, now: Timestamp, sequence: u64, superseded: &[SocketAddr]) {
         let Some(batch) = self.advertiser.acknowledged(sequence) else { return };
         for flow in &batch.flows {
             let lost = superseded.contains(&flow.caller);
             self.counts.handed_over += u64::from(batch.handover && !lost);
-            self.counts.told += u64::from(!batch.handover && !lost);
+            self.counts.advertised += u64::from(!batch.handover && !lost);
             if batch.handover || lost {
-                self.table.give_away(now, &FlowKey { service: batch.service, caller: flow.caller });
+                self.table.mark_handed_over(now, &FlowKey { service: batch.service, caller: flow.caller });
             }
         }
     }
 
-    /// Does what is due: expiry, telling and handing over. Returns batches to send, each with its addressee.
+    /// Expires flows and earlier views, and returns the batches to send, each with its receiver.
     pub fn tick(&mut self, now: Timestamp, cx: FlowContext<'_>) -> Vec<(InstanceId, FlowBatch)> {
         let catalog = cx.view.catalog();
         self.counts.expired += self.table.expire(now, |service| catalog.service(service).map(|entry| entry.idle));
-        self.chain.expire(now);
-        if self.chain.is_empty() {
-            self.doubted = None;
+        self.view_history.expire(now);
+        if self.view_history.is_empty() {
+            self.unconfirmed_before = None;
         }
         self.advertiser.tick(now, self.me, &self.table, cx)
     }
 }
 
-/// Records of flows that have to go, since another record of the same flow holds.
+/// Flow records that must be dropped because another record of the same flow supersedes them.
 #[derive(Clone, Debug, Default)]
 pub struct Superseded {
-    /// Callers of those that the sender of the batch holds.
+    /// Callers of the flows whose records the sender of the batch must drop.
     pub senders: Vec<SocketAddr>,
-    /// Callers of those that third instances hold.
+    /// Callers of the flows whose records other instances must drop, by instance.
     pub others: BTreeMap<InstanceId, Vec<SocketAddr>>,
 }
 
-fn note(catalog: &Catalog, target: &TargetEntry) -> TargetDescriptor {
+fn describe_target(catalog: &Catalog, target: &TargetEntry) -> TargetDescriptor {
     TargetDescriptor {
         id: target.id,
         address: target.address,
@@ -582,10 +603,10 @@
     }
 }
 
-/// Tells whether packets may be forwarded to an instance: it can be reached, and its failure domain is not out, or
-/// has been for so short a time that its flows may still be handed over.
-fn may_get_packets(now: Timestamp, id: InstanceId, cx: FlowContext<'_>) -> bool {
+/// Returns whether packets may be forwarded to an instance. It must be reachable, and its failure domain must be in
+/// service, or the active set so new that the instance may still be handing over its flows.
+fn may_forward_to(now: Timestamp, id: InstanceId, cx: FlowContext<'_>) -> bool {
     let Some(update) = cx.members.member(id).filter(|update| update.state.is_reachable()) else { return false };
     let in_service = cx.view.catalog().domain_in_service(&update.failure_domain);
-    in_service || now.saturating_sub(cx.adopted_at) < OUT_GRACE
+    in_service || now.saturating_sub(cx.adopted_at) < OUT_OF_SERVICE_GRACE
 }
--- a/crates/core/src/flows/table.rs
+++ b/crates/core/src/flows/table.rs
@@ -1,7 +1,7 @@
-//! The table of flows: records in a slab, an index by key, and for each target the channels in use.
+//! The flow table: records in a slab, an index by flow key, and the local ports in use for each target address.
 //!
-//! Records are small and fixed, so that a table of hundreds of thousands stays within an instance's memory. Expiry
-//! walks the slab a slice at a time; no packet ever waits for a full pass.
+//! Records are small and of fixed size, so that a table of several hundred thousand flows fits into an instance's
+//! memory. Expiry scans the slab in slices, so that no packet waits for a full pass.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -20,37 +20,37 @@
 use hawthornshift_model::ServiceId;
 use hawthornshift_model::TargetId;
 
-/// Position of a target in the table.
-pub type SeatIndex = u32;
+/// Index of a target binding in the table.
+pub type BindingIndex = u32;
 
-/// Position of a record in the slab.
+/// Index of a record in the slab.
 type SlotIndex = u32;
 
-/// Time after which flows that stay behind are told again, so that those who were told do not forget them.
-pub const TELL_PERIOD: Duration = Duration::from_mins(2);
-/// Time for which a channel rests after its flow has ended. A late packet of the target would otherwise reach the
-/// caller of the next flow on that channel.
-const CHANNEL_REST: Duration = Duration::from_mins(1);
-/// Time for which answers to a flow that was handed over are still passed on.
-const REPLY_TAIL: Duration = Duration::from_secs(30);
-/// Part of the slab that one expiry step walks.
-const EXPIRY_SLICES: usize = 50;
-/// Idle time of flows whose service the set no longer names.
-const ORPHAN_IDLE: Duration = Duration::from_mins(1);
-/// Most channels of one target at one instance.
-const MAX_CHANNELS: usize = 60_000;
-
-/// Who holds a flow.
+/// Time after which misplaced flows are advertised again, so that the receivers' records of them do not expire.
+pub const ADVERTISE_PERIOD: Duration = Duration::from_mins(2);
+/// Time for which a local port is not reused after its flow has ended. Otherwise a late packet from the target would
+/// reach the caller of the next flow on that port.
+const PORT_QUARANTINE: Duration = Duration::from_mins(1);
+/// Time for which answers from the target to a flow that another instance now holds are still passed on.
+const HANDED_OVER_REPLY_TIME: Duration = Duration::from_secs(30);
+/// Number of expiry steps in which the whole slab is scanned once.
+const EXPIRY_STEPS_PER_PASS: usize = 50;
+/// Idle timeout of flows whose service is no longer in the set.
+const UNKNOWN_SERVICE_IDLE_TIMEOUT: Duration = Duration::from_mins(1);
+/// Maximum number of local ports of this instance for one target address.
+const MAX_PORTS_PER_ADDRESS: usize = 60_000;
+
+/// The instance that holds a flow.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Holder {
     /// This instance.
     Here {
-        /// The target.
-        seat: SeatIndex,
-        /// The local port used towards it.
+        /// The binding of the flow's target.
+        seat: BindingIndex,
+        /// The local port from which packets go to the target.
         local_port: LocalPort,
     },
-    /// Another instance, which has told so.
+    /// Another instance, which has advertised the flow.
     Instance(InstanceId),
 }
 
@@ -58,15 +58,15 @@
 enum State {
     Vacant,
     Here {
-        seat: SeatIndex,
+        seat: BindingIndex,
         local_port: LocalPort,
     },
     Elsewhere {
         holder: InstanceId,
     },
-    /// Handed over; only answers of the target still pass.
-    GivenAway {
-        seat: SeatIndex,
+    /// Another instance holds the flow now; only answers from the target are still passed on.
+    HandedOver {
+        seat: BindingIndex,
         local_port: LocalPort,
     },
 }
@@ -75,123 +75,126 @@
 struct Record {
     key: FlowKey,
     state: State,
-    /// Start of the flow, in milliseconds as below.
-    opened: u32,
-    /// Last packet, in milliseconds on the process's clock, which wraps after 49 days.
-    touched: u32,
+    /// Start of the flow, in milliseconds on the same clock as `last_packet_ms`.
+    started_ms: u32,
+    /// Time of the last packet, in milliseconds on the process's clock. The value wraps around after 49 days.
+    last_packet_ms: u32,
 }
 
 impl Record {
-    fn idle(&self, now: Timestamp) -> Duration {
-        Duration::from_millis(stamp(now).wrapping_sub(self.touched).into())
+    fn idle_time(&self, now: Timestamp) -> Duration {
+        Duration::from_millis(wrapping_millis(now).wrapping_sub(self.last_packet_ms).into())
     }
 
-    /// Tells whether the last packet was before `doubted`.
-    fn is_doubtful(&self, now: Timestamp, doubted: Option<Timestamp>) -> bool {
-        doubted.is_some_and(|since| self.idle(now) > now.saturating_sub(since))
+    /// Returns whether the last packet was before `unconfirmed_before`.
+    fn is_unconfirmed(&self, now: Timestamp, unconfirmed_before: Option<Timestamp>) -> bool {
+        unconfirmed_before.is_some_and(|since| self.idle_time(now) > now.saturating_sub(since))
     }
 
-    fn note(&self, now: Timestamp) -> FlowDescriptor {
-        let now = stamp(now);
+    fn descriptor(&self, now: Timestamp) -> FlowDescriptor {
+        let now = wrapping_millis(now);
         FlowDescriptor {
             caller: self.key.caller,
-            age_ms: now.wrapping_sub(self.opened),
-            idle_ms: now.wrapping_sub(self.touched),
+            age_ms: now.wrapping_sub(self.started_ms),
+            idle_ms: now.wrapping_sub(self.last_packet_ms),
         }
     }
 }
 
-/// A flow held here, as a walk over the slab finds it.
+/// A flow held here, as returned by a scan of the slab.
 #[derive(Clone, Copy, Debug)]
-pub struct Held {
-    /// The service.
+pub struct HeldFlow {
+    /// Service of the flow.
     pub service: ServiceId,
-    /// The target.
-    pub seat: SeatIndex,
-    /// What is told of it.
-    pub note: FlowDescriptor,
+    /// Binding of the flow's target.
+    pub seat: BindingIndex,
+    /// Descriptor of the flow for an advertisement or a handover.
+    pub descriptor: FlowDescriptor,
 }
 
-/// What a look-up for a packet finds.
+/// Result of a look-up for a packet.
 #[derive(Clone, Copy, Debug)]
-pub struct Found {
-    /// Who holds the flow.
+pub struct LookupResult {
+    /// Holder of the flow.
     pub holder: Holder,
-    /// Whether its last packet was before the time asked about.
-    pub doubtful: bool,
+    /// Whether the flow's last packet was before the time given to the look-up, so that another instance may hold it.
+    pub unconfirmed: bool,
 }
 
-/// Why a target's flows may get no more packets.
+/// The reason why no more packets may be sent to a target.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Block {
-    /// Its failure domain is out.
+pub enum BlockReason {
+    /// The target's failure domain is out of service.
     DomainOut,
-    /// Its address now belongs to another target or serves another service.
+    /// The target's address now belongs to another target or serves another service.
     Replaced,
 }
 
-/// A target as the flows of one service use it.
+/// The use of a target by the flows of one service.
 #[derive(Clone, Debug)]
-pub struct Seat {
-    note: TargetDescriptor,
+pub struct TargetBinding {
+    descriptor: TargetDescriptor,
     service: ServiceId,
     ports: usize,
     live: u32,
-    block: Option<Block>,
+    block: Option<BlockReason>,
 }
 
-impl Seat {
-    /// Returns the target.
+impl TargetBinding {
+    /// Returns the descriptor of the target.
     #[must_use]
-    pub fn note(&self) -> &TargetDescriptor {
-        &self.note
+    pub fn descriptor(&self) -> &TargetDescriptor {
+        &self.descriptor
     }
 
-    /// Returns the service whose flows go here.
+    /// Returns the service whose flows use this binding.
     #[must_use]
     pub fn service(&self) -> ServiceId {
         self.service
     }
 
-    /// Returns why the flows may get no more packets, if they may not.
+    /// Returns why no more packets of these flows may be sent to the target, or `None` if they may be sent.
     #[must_use]
-    pub fn block(&self) -> Option<Block> {
+    pub fn block(&self) -> Option<BlockReason> {
         self.block
     }
 
-    /// A target that the set no longer names keeps its flows until they end: it was removed as planned. One whose
-    /// address or group now serves others loses them, since their packets would reach a service not their own.
-    fn find_block(&self, catalog: &Catalog) -> Option<Block> {
-        if !catalog.domain_in_service(&self.note.failure_domain) {
-            return Some(Block::DomainOut);
+    /// Returns the reason to block the target under a new set, if there is one.
+    ///
+    /// A target that is no longer in the set keeps its flows until they end, because its removal was planned. A target
+    /// whose address or group now serves other services is blocked, because the packets would reach the wrong service.
+    fn find_block_reason(&self, catalog: &Catalog) -> Option<BlockReason> {
+        if !catalog.domain_in_service(&self.descriptor.failure_domain) {
+            return Some(BlockReason::DomainOut);
         }
-        let owner = catalog.target_at(self.note.address)?;
+        let owner = catalog.target_at(self.descriptor.address)?;
         let group = catalog.target(owner).map(|target| target.group);
         let own = catalog.service(self.service).map(|service| service.group);
         let serves_others =
             catalog.services().any(|service| Some(service.group) == group && service.id != self.service);
-        let replaced = owner != self.note.id || (own != group && serves_others);
-        replaced.then_some(Block::Replaced)
+        let replaced = owner != self.descriptor.id || (own != group && serves_others);
+        replaced.then_some(BlockReason::Replaced)
     }
 }
 
-/// The channels in use towards one address.
+/// The local ports in use for one target address.
 ///
-/// They are counted by address and not by target, because a packet that comes back tells no more than the address.
+/// Ports are allocated per address and not per target, because a returning packet identifies the target only by its
+/// address.
 #[derive(Clone, Debug, Default)]
-struct Ports {
+struct PortAllocator {
     slots: Vec<Option<SlotIndex>>,
-    resting: VecDeque<(LocalPort, Timestamp)>,
+    quarantined: VecDeque<(LocalPort, Timestamp)>,
 }
 
-impl Ports {
-    fn take(&mut self, now: Timestamp, slot: SlotIndex) -> Option<LocalPort> {
-        let rested = |(_, since): &mut (LocalPort, Timestamp)| now.saturating_sub(*since) >= CHANNEL_REST;
-        if let Some((local_port, _)) = self.resting.pop_front_if(rested) {
+impl PortAllocator {
+    fn allocate(&mut self, now: Timestamp, slot: SlotIndex) -> Option<LocalPort> {
+        let quarantine_over = |(_, since): &mut (LocalPort, Timestamp)| now.saturating_sub(*since) >= PORT_QUARANTINE;
+        if let Some((local_port, _)) = self.quarantined.pop_front_if(quarantine_over) {
             self.slots[usize::from(local_port)] = Some(slot);
             return Some(local_port);
         }
-        if self.slots.len() >= MAX_CHANNELS {
+        if self.slots.len() >= MAX_PORTS_PER_ADDRESS {
             return None;
         }
         let local_port = LocalPort::try_from(self.slots.len()).ok()?;
@@ -199,133 +202,141 @@
         Some(local_port)
     }
 
-    fn rest(&mut self, now: Timestamp, local_port: LocalPort) {
+    fn release(&mut self, now: Timestamp, local_port: LocalPort) {
         self.slots[usize::from(local_port)] = None;
-        self.resting.push_back((local_port, now));
+        self.quarantined.push_back((local_port, now));
     }
 }
 
-/// The flows that one instance knows of.
+/// The flows that one instance holds or knows about.
 #[derive(Clone, Debug)]
 pub struct FlowTable {
     records: Vec<Record>,
     vacant: Vec<SlotIndex>,
     index: HashTable<SlotIndex>,
-    seats: Vec<Seat>,
-    by_pair: Map<(ServiceId, TargetId), SeatIndex>,
-    by_target: Map<TargetId, Vec<SeatIndex>>,
-    ports: Vec<Ports>,
+    bindings: Vec<TargetBinding>,
+    by_service_and_target: Map<(ServiceId, TargetId), BindingIndex>,
+    by_target: Map<TargetId, Vec<BindingIndex>>,
+    ports: Vec<PortAllocator>,
     by_address: Map<SocketAddr, usize>,
     capacity: usize,
     held: usize,
     elsewhere: usize,
-    cursor: usize,
+    expiry_cursor: usize,
 }
 
 impl FlowTable {
-    /// Makes a table for at most `capacity` flows.
+    /// Creates a table for at most `capacity` flows.
     #[must_use]
     pub fn new(capacity: usize) -> Self {
         Self {
             records: Vec::new(),
             vacant: Vec::new(),
             index: HashTable::new(),
-            seats: Vec::new(),
-            by_pair: Map::default(),
+            bindings: Vec::new(),
+            by_service_and_target: Map::default(),
             by_target: Map::default(),
             ports: Vec::new(),
             by_address: Map::default(),
             capacity,
             held: 0,
             elsewhere: 0,
-            cursor: 0,
+            expiry_cursor: 0,
         }
     }
 
-    /// Returns the flows held here.
+    /// Returns the number of flows held here.
     #[must_use]
     pub fn held(&self) -> usize {
         self.held
     }
 
-    /// Returns the flows known to be held elsewhere.
+    /// Returns the number of flows known to be held by other instances.
     #[must_use]
     pub fn elsewhere(&self) -> usize {
         self.elsewhere
     }
 
-    /// Returns the length of the slab, an upper bound for walks over it.
+    /// Returns the number of records in the slab, vacant ones included; the end of a scan with [`FlowTable::held_at`].
     #[must_use]
-    pub fn span(&self) -> usize {
+    pub fn slab_len(&self) -> usize {
         self.records.len()
     }
 
-    /// Returns a target.
+    /// Returns a target binding.
     #[must_use]
-    pub fn seat(&self, index: SeatIndex) -> &Seat {
-        &self.seats[index as usize]
+    pub fn seat(&self, index: BindingIndex) -> &TargetBinding {
+        &self.bindings[index as usize]
     }
 
-    /// Returns the flows held here that go to a target.
+    /// Returns the number of flows held here that go to a target.
     #[must_use]
     pub fn held_for(&self, target: TargetId) -> u32 {
-        let seats = self.by_target.get(&target).into_iter().flatten();
-        seats.map(|seat| self.seat(*seat).live).sum()
+        let bindings = self.by_target.get(&target).into_iter().flatten();
+        bindings.map(|seat| self.seat(*seat).live).sum()
     }
 
-    /// Looks at every target anew, since the set in force has changed.
+    /// Checks every target binding against a new set.
     ///
-    /// A block is for good. Were it lifted when a failure domain comes back, flows that their callers have long moved
-    /// elsewhere would jump back to where they were. New flows to the same target get a new seat.
+    /// A block is permanent. If it were lifted when a failure domain returns to service, flows that have moved to
+    /// another target meanwhile would move back. New flows to the same target get a new binding.
     pub fn revalidate(&mut self, catalog: &Catalog) {
-        let Self { seats, by_pair, by_target, .. } = self;
-        for (index, seat) in seats.iter_mut().enumerate().filter(|(_, seat)| seat.block.is_none()) {
-            seat.block = seat.find_block(catalog);
+        let Self { bindings, by_service_and_target, by_target, .. } = self;
+        for (index, seat) in bindings.iter_mut().enumerate().filter(|(_, seat)| seat.block.is_none()) {
+            seat.block = seat.find_block_reason(catalog);
             if seat.block.is_none() {
                 continue;
             }
-            by_pair.remove(&(seat.service, seat.note.id));
-            if let Some(others) = by_target.get_mut(&seat.note.id) {
+            by_service_and_target.remove(&(seat.service, seat.descriptor.id));
+            if let Some(others) = by_target.get_mut(&seat.descriptor.id) {
                 others.retain(|other| *other as usize != index);
             }
         }
     }
 
-    /// Returns the flow held here at a position of the slab.
+    /// Returns the flow at an index of the slab, if it is held here.
     #[must_use]
-    pub fn held_at(&self, now: Timestamp, position: usize) -> Option<Held> {
+    pub fn held_at(&self, now: Timestamp, position: usize) -> Option<HeldFlow> {
         let record = self.records.get(position)?;
         match record.state {
-            State::Here { seat, .. } => Some(Held { service: record.key.service, seat, note: record.note(now) }),
+            State::Here { seat, .. } => {
+                Some(HeldFlow { service: record.key.service, seat, descriptor: record.descriptor(now) })
+            }
             _ => None,
         }
     }
 
-    /// Returns who holds a flow, and what is known of that record.
+    /// Returns the holder and the descriptor of a flow.
     #[must_use]
-    pub fn note(&self, now: Timestamp, key: &FlowKey) -> Option<(Holder, FlowDescriptor)> {
+    pub fn descriptor(&self, now: Timestamp, key: &FlowKey) -> Option<(Holder, FlowDescriptor)> {
         let record = self.records[self.find(key)? as usize];
-        Some((holder(record.state)?, record.note(now)))
+        Some((holder(record.state)?, record.descriptor(now)))
     }
 
     fn find(&self, key: &FlowKey) -> Option<SlotIndex> {
         self.index.find(key.hash64(), |slot| self.records[*slot as usize].key == *key).copied()
     }
 
-    /// Returns who holds a flow and notes that it has a packet, unless its last one was before `doubted`.
-    pub fn touch(&mut self, now: Timestamp, key: &FlowKey, doubted: Option<Timestamp>) -> Option<Found> {
+    /// Returns the holder of a flow and records that a packet arrived, unless the flow's last packet was before
+    /// `unconfirmed_before`.
+    pub fn touch(
+        &mut self,
+        now: Timestamp,
+        key: &FlowKey,
+        unconfirmed_before: Option<Timestamp>,
+    ) -> Option<LookupResult> {
         let slot = self.find(key)?;
         let record = &mut self.records[slot as usize];
         let holder = holder(record.state)?;
-        let doubtful = record.is_doubtful(now, doubted);
-        if !doubtful {
-            record.touched = stamp(now);
+        let unconfirmed = record.is_unconfirmed(now, unconfirmed_before);
+        if !unconfirmed {
+            record.last_packet_ms = wrapping_millis(now);
         }
-        Some(Found { holder, doubtful })
+        Some(LookupResult { holder, unconfirmed })
     }
 
-    /// Adds a flow held here, started `age_ms` milliseconds ago; returns its channel, or none when the table or the
-    /// target has no room.
+    /// Adds a flow held here that started `age_ms` milliseconds ago, and returns its local port. Returns `None` if the
+    /// table is full or no local port is free for the target's address.
     pub fn insert_here(
         &mut self,
         now: Timestamp,
@@ -333,38 +344,44 @@
         target: &TargetDescriptor,
         age_ms: u32,
     ) -> Option<LocalPort> {
-        // Someone else's hold, or the tail of a hold given away, ends here.
+        // Replaces a record of another holder, or of a flow that was handed over earlier.
         self.remove(now, &key);
-        let slot = self.take_slot(now, key)?;
-        let seat = self.intern(key.service, target);
-        let ports = self.seats[seat as usize].ports;
-        let Some(local_port) = self.ports[ports].take(now, slot) else {
+        let slot = self.allocate_record(now, key)?;
+        let seat = self.intern_binding(key.service, target);
+        let ports = self.bindings[seat as usize].ports;
+        let Some(local_port) = self.ports[ports].allocate(now, slot) else {
             self.vacant.push(slot);
             return None;
         };
-        self.seats[seat as usize].live += 1;
+        self.bindings[seat as usize].live += 1;
         let record = &mut self.records[slot as usize];
         record.state = State::Here { seat, local_port };
-        record.opened = stamp(now).wrapping_sub(age_ms);
+        record.started_ms = wrapping_millis(now).wrapping_sub(age_ms);
         self.held += 1;
-        self.link(&key, slot);
+        self.insert_index(&key, slot);
         Some(local_port)
     }
 
-    /// Notes that another instance holds a flow; without room the note is dropped, and the chain still finds it.
-    pub fn insert_elsewhere(&mut self, now: Timestamp, key: FlowKey, holder: InstanceId, note: &FlowDescriptor) {
+    /// Records that another instance holds a flow. If the table is full nothing is recorded, and the flow can still be
+    /// found through earlier views.
+    pub fn insert_elsewhere(&mut self, now: Timestamp, key: FlowKey, holder: InstanceId, descriptor: &FlowDescriptor) {
         self.remove(now, &key);
-        let Some(slot) = self.take_slot(now, key) else { return };
+        let Some(slot) = self.allocate_record(now, key) else { return };
         let record = &mut self.records[slot as usize];
         record.state = State::Elsewhere { holder };
-        record.opened = stamp(now).wrapping_sub(note.age_ms);
-        record.touched = stamp(now).wrapping_sub(note.idle_ms);
+        record.started_ms = wrapping_millis(now).wrapping_sub(descriptor.age_ms);
+        record.last_packet_ms = wrapping_millis(now).wrapping_sub(descriptor.idle_ms);
         self.elsewhere += 1;
-        self.link(&key, slot);
+        self.insert_index(&key, slot);
     }
 
-    fn take_slot(&mut self, now: Timestamp, key: FlowKey) -> Option<SlotIndex> {
-        let record = Record { key, state: State::Vacant, opened: stamp(now), touched: stamp(now) };
+    fn allocate_record(&mut self, now: Timestamp, key: FlowKey) -> Option<SlotIndex> {
+        let record = Record {
+            key,
+            state: State::Vacant,
+            started_ms: wrapping_millis(now),
+            last_packet_ms: wrapping_millis(now),
+        };
         if let Some(slot) = self.vacant.pop() {
             self.records[slot as usize] = record;
             return Some(slot);
@@ -377,26 +394,26 @@
         Some(slot)
     }
 
-    fn link(&mut self, key: &FlowKey, slot: SlotIndex) {
+    fn insert_index(&mut self, key: &FlowKey, slot: SlotIndex) {
         let Self { records, index, .. } = self;
         index.insert_unique(key.hash64(), slot, |slot| records[*slot as usize].key.hash64());
     }
 
-    fn unlink(&mut self, key: &FlowKey) -> Option<SlotIndex> {
+    fn remove_index(&mut self, key: &FlowKey) -> Option<SlotIndex> {
         let Self { records, index, .. } = self;
         let entry = index.find_entry(key.hash64(), |slot| records[*slot as usize].key == *key).ok()?;
         Some(entry.remove().0)
     }
 
-    fn intern(&mut self, service: ServiceId, note: &TargetDescriptor) -> SeatIndex {
-        if let Some(seat) = self.by_pair.get(&(service, note.id)) {
+    fn intern_binding(&mut self, service: ServiceId, descriptor: &TargetDescriptor) -> BindingIndex {
+        if let Some(seat) = self.by_service_and_target.get(&(service, descriptor.id)) {
             return *seat;
         }
-        let index = SeatIndex::try_from(self.seats.len()).unwrap_or(SeatIndex::MAX);
-        let ports = self.intern_ports(note.address);
-        self.seats.push(Seat { note: note.clone(), service, ports, live: 0, block: None });
-        self.by_pair.insert((service, note.id), index);
-        self.by_target.entry(note.id).or_default().push(index);
+        let index = BindingIndex::try_from(self.bindings.len()).unwrap_or(BindingIndex::MAX);
+        let ports = self.intern_ports(descriptor.address);
+        self.bindings.push(TargetBinding { descriptor: descriptor.clone(), service, ports, live: 0, block: None });
+        self.by_service_and_target.insert((service, descriptor.id), index);
+        self.by_target.entry(descriptor.id).or_default().push(index);
         index
     }
 
@@ -404,21 +421,21 @@
         let next = self.ports.len();
         let index = *self.by_address.entry(address).or_insert(next);
         if index == next {
-            self.ports.push(Ports::default());
+            self.ports.push(PortAllocator::default());
         }
         index
     }
 
-    /// Forgets a flow at once; a channel it had rests.
+    /// Removes a flow at once and quarantines its local port.
     pub fn remove(&mut self, now: Timestamp, key: &FlowKey) {
-        let Some(slot) = self.unlink(key) else { return };
+        let Some(slot) = self.remove_index(key) else { return };
         match self.records[slot as usize].state {
             State::Here { seat, local_port } => {
-                self.seats[seat as usize].live -= 1;
-                self.rest(now, seat, local_port);
+                self.bindings[seat as usize].live -= 1;
+                self.release(now, seat, local_port);
                 self.held -= 1;
             }
-            State::GivenAway { seat, local_port } => self.rest(now, seat, local_port),
+            State::HandedOver { seat, local_port } => self.release(now, seat, local_port),
             State::Elsewhere { .. } => self.elsewhere -= 1,
             State::Vacant => {}
         }
@@ -426,67 +443,71 @@
         self.vacant.push(slot);
     }
 
-    fn rest(&mut self, now: Timestamp, seat: SeatIndex, local_port: LocalPort) {
-        let ports = self.seats[seat as usize].ports;
-        self.ports[ports].rest(now, local_port);
+    fn release(&mut self, now: Timestamp, seat: BindingIndex, local_port: LocalPort) {
+        let ports = self.bindings[seat as usize].ports;
+        self.ports[ports].release(now, local_port);
     }
 
-    /// Stops holding a flow that another instance has taken over; answers to it still pass for a while.
-    pub fn give_away(&mut self, now: Timestamp, key: &FlowKey) {
+    /// Marks a flow held here as held by another instance. Answers from the target are still passed on for a limited
+    /// time.
+    pub fn mark_handed_over(&mut self, now: Timestamp, key: &FlowKey) {
         let Some(slot) = self.find(key) else { return };
         let record = &mut self.records[slot as usize];
         if let State::Here { seat, local_port } = record.state {
-            record.state = State::GivenAway { seat, local_port };
-            record.touched = stamp(now);
-            self.seats[seat as usize].live -= 1;
+            record.state = State::HandedOver { seat, local_port };
+            record.last_packet_ms = wrapping_millis(now);
+            self.bindings[seat as usize].live -= 1;
             self.held -= 1;
         }
     }
 
-    /// Finds the flow of a packet that came from a target on a channel, and notes that it had a packet.
+    /// Returns the flow of a packet from a target that arrived on a local port, and records that a packet arrived.
     ///
-    /// A flow whose last packet was before `doubted` is not found: another instance may hold it by now.
+    /// Does not return a flow whose last packet was before `unconfirmed_before`, because another instance may hold it
+    /// by now.
     pub fn find_by_channel(
         &mut self,
         now: Timestamp,
         target: SocketAddr,
         local_port: LocalPort,
-        doubted: Option<Timestamp>,
-    ) -> Option<(FlowKey, &Seat)> {
+        unconfirmed_before: Option<Timestamp>,
+    ) -> Option<(FlowKey, &TargetBinding)> {
         let ports = &self.ports[*self.by_address.get(&target)?];
         let slot = (*ports.slots.get(usize::from(local_port))?)?;
         let record = &mut self.records[slot as usize];
         let seat = match record.state {
             State::Here { seat, .. } => {
-                if record.is_doubtful(now, doubted) {
+                if record.is_unconfirmed(now, unconfirmed_before) {
                     return None;
                 }
-                record.touched = stamp(now);
+                record.last_packet_ms = wrapping_millis(now);
                 seat
             }
-            State::GivenAway { seat, .. } => seat,
+            State::HandedOver { seat, .. } => seat,
             State::Elsewhere { .. } | State::Vacant => return None,
         };
-        Some((record.key, &self.seats[seat as usize]))
+        Some((record.key, &self.bindings[seat as usize]))
     }
 
-    /// Walks a slice of the slab and forgets flows that have been silent for their service's idle time; returns how
-    /// many of those were held here.
-    pub fn expire(&mut self, now: Timestamp, idle: impl Fn(ServiceId) -> Option<Duration>) -> u64 {
-        let step = self.records.len().div_ceil(EXPIRY_SLICES);
+    /// Scans a slice of the slab and removes the flows that have reached their idle timeout; `idle_timeout` returns
+    /// the timeout of a service in the set. Returns the number of removed flows that were held here.
+    pub fn expire(&mut self, now: Timestamp, idle_timeout: impl Fn(ServiceId) -> Option<Duration>) -> u64 {
+        let step = self.records.len().div_ceil(EXPIRY_STEPS_PER_PASS);
         let mut expired = 0;
         for _ in 0..step {
-            self.cursor = if self.cursor + 1 >= self.records.len() { 0 } else { self.cursor + 1 };
-            let record = self.records[self.cursor];
+            self.expiry_cursor = if self.expiry_cursor + 1 >= self.records.len() { 0 } else { self.expiry_cursor + 1 };
+            let record = self.records[self.expiry_cursor];
             let Record { key, state, .. } = record;
             let limit = match state {
                 State::Vacant => continue,
-                State::GivenAway { .. } => REPLY_TAIL,
-                State::Here { .. } => idle(key.service).unwrap_or(ORPHAN_IDLE),
-                // Its holder tells of it again and again for as long as the flow lasts.
-                State::Elsewhere { .. } => idle(key.service).unwrap_or(ORPHAN_IDLE).max(TELL_PERIOD * 2),
+                State::HandedOver { .. } => HANDED_OVER_REPLY_TIME,
+                State::Here { .. } => idle_timeout(key.service).unwrap_or(UNKNOWN_SERVICE_IDLE_TIMEOUT),
+                // The holder advertises the flow periodically for as long as the flow lasts.
+                State::Elsewhere { .. } => {
+                    idle_timeout(key.service).unwrap_or(UNKNOWN_SERVICE_IDLE_TIMEOUT).max(ADVERTISE_PERIOD * 2)
+                }
             };
-            if record.idle(now) >= limit {
+            if record.idle_time(now) >= limit {
                 expired += u64::from(matches!(state, State::Here { .. }));
                 self.remove(now, &key);
             }
@@ -499,11 +520,11 @@
     match state {
         State::Here { seat, local_port } => Some(Holder::Here { seat, local_port }),
         State::Elsewhere { holder } => Some(Holder::Instance(holder)),
-        State::Vacant | State::GivenAway { .. } => None,
+        State::Vacant | State::HandedOver { .. } => None,
     }
 }
 
-/// Shortens a time to milliseconds that wrap.
-fn stamp(now: Timestamp) -> u32 {
+/// Converts a time to milliseconds that wrap around at 32 bits.
+fn wrapping_millis(now: Timestamp) -> u32 {
     u32::try_from(now.as_millis() & u128::from(u32::MAX)).unwrap_or(0)
 }
--- a/crates/core/src/platform.rs
+++ b/crates/core/src/platform.rs
@@ -19,24 +19,24 @@
 use crate::view::View;
 
 /// How long a watch waits at the platform for something new.
-const WATCH: Duration = Duration::from_secs(10);
+const WATCH_WAIT: Duration = Duration::from_secs(10);
 /// Time between two reads that a watcher leaves at the least.
-const WATCH_GAP: Duration = Duration::from_millis(100);
+const WATCH_INTERVAL: Duration = Duration::from_millis(100);
 /// First pause after a failure.
-const FIRST_BACKOFF: Duration = Duration::from_millis(500);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(500);
 /// Longest pause of one that watches: what operators published meanwhile waits for it.
-const WATCHER_BACKOFF: Duration = Duration::from_secs(2);
+const MAX_WATCHER_BACKOFF: Duration = Duration::from_secs(2);
 /// Longest pause of one that does not watch.
-const READER_BACKOFF: Duration = Duration::from_secs(15);
+const MAX_READER_BACKOFF: Duration = Duration::from_secs(15);
 /// Time after which a read that was never answered is given up.
-const LOST: Duration = Duration::from_secs(30);
+const READ_TIMEOUT: Duration = Duration::from_secs(30);
 /// What the watcher of a failure domain is ranked by.
-const WATCH_KEY: u64 = 0x77_61_74_63_68;
+const WATCHER_RANK_KEY: u64 = 0x77_61_74_63_68;
 
 #[derive(Clone, Copy, Debug)]
 struct Schedule {
-    next: Timestamp,
-    outstanding: Option<Timestamp>,
+    next_read_at: Timestamp,
+    pending_since: Option<Timestamp>,
     failures: u32,
 }
 
@@ -51,7 +51,7 @@
     /// Starts with a read of everything; `fallback` is the mean time between reads of one that does not watch.
     #[must_use]
     pub fn new(now: Timestamp, fallback: Duration) -> Self {
-        let schedule = Schedule { next: now, outstanding: None, failures: 0 };
+        let schedule = Schedule { next_read_at: now, pending_since: None, failures: 0 };
         let schedules = [Resource::Set, Resource::Instances].map(|resource| (resource, schedule));
         Self { schedules: schedules.into_iter().collect(), fallback }
     }
@@ -66,54 +66,55 @@
         if !view.serves(me.id) {
             return true;
         }
-        let seats = view.serving_for(domain).iter().copied();
-        rendezvous::pick(WATCH_KEY, seats, |seat| u64::from(seat.id)).is_none_or(|seat| seat.id == me.id)
+        let instances = view.serving_for(domain).iter().copied();
+        rendezvous::pick(WATCHER_RANK_KEY, instances, |instance| u64::from(instance.id))
+            .is_none_or(|instance| instance.id == me.id)
     }
 
     /// Returns how long a read that is due now may wait at the platform.
     pub fn due(&mut self, now: Timestamp, resource: Resource, watches: bool, rng: &mut SmallRng) -> Option<Duration> {
         let schedule = self.schedules.get_mut(&resource)?;
-        if schedule.outstanding.is_some_and(|since| now.saturating_sub(since) >= LOST) {
-            schedule.outstanding = None;
+        if schedule.pending_since.is_some_and(|since| now.saturating_sub(since) >= READ_TIMEOUT) {
+            schedule.pending_since = None;
         }
         // One that has just become the watcher need not wait for its next read of now and then.
-        let soon = now + WATCH_GAP.mul_f64(rng.random_range(1.0..2.0));
+        let next_watch_at = now + WATCH_INTERVAL.mul_f64(rng.random_range(1.0..2.0));
         if watches && schedule.failures == 0 {
-            schedule.next = schedule.next.min(soon);
+            schedule.next_read_at = schedule.next_read_at.min(next_watch_at);
         }
-        if schedule.outstanding.is_some() || now < schedule.next {
+        if schedule.pending_since.is_some() || now < schedule.next_read_at {
             return None;
         }
-        schedule.outstanding = Some(now);
-        Some(if watches && schedule.failures == 0 { WATCH } else { Duration::ZERO })
+        schedule.pending_since = Some(now);
+        Some(if watches && schedule.failures == 0 { WATCH_WAIT } else { Duration::ZERO })
     }
 
     /// Notes an answer.
     pub fn answered(&mut self, now: Timestamp, resource: Resource, watches: bool, rng: &mut SmallRng) {
         let Some(schedule) = self.schedules.get_mut(&resource) else { return };
-        schedule.outstanding = None;
+        schedule.pending_since = None;
         schedule.failures = 0;
-        let pause = if watches { WATCH_GAP } else { self.fallback.mul_f64(rng.random_range(0.5..1.5)) };
-        schedule.next = now + pause;
+        let delay = if watches { WATCH_INTERVAL } else { self.fallback.mul_f64(rng.random_range(0.5..1.5)) };
+        schedule.next_read_at = now + delay;
         // The platform is back: what else was waiting for it need not wait on.
         for other in self.schedules.values_mut().filter(|other| other.failures > 0) {
             other.failures = 0;
-            other.next = now;
+            other.next_read_at = now;
         }
     }
 
     /// Notes a failure.
     pub fn failed(&mut self, now: Timestamp, resource: Resource, watches: bool, rng: &mut SmallRng) {
         let Some(schedule) = self.schedules.get_mut(&resource) else { return };
-        schedule.outstanding = None;
-        let longest = if watches { WATCHER_BACKOFF } else { READER_BACKOFF };
-        let pause = backoff::doubled(FIRST_BACKOFF, schedule.failures, longest);
+        schedule.pending_since = None;
+        let max_backoff = if watches { MAX_WATCHER_BACKOFF } else { MAX_READER_BACKOFF };
+        let delay = backoff::doubled(INITIAL_BACKOFF, schedule.failures, max_backoff);
         schedule.failures = schedule.failures.saturating_add(1);
-        schedule.next = now + pause.mul_f64(rng.random_range(0.5..1.0));
+        schedule.next_read_at = now + delay.mul_f64(rng.random_range(0.5..1.0));
     }
 
     /// Makes all reads due at once.
     pub fn read_all_now(&mut self, now: Timestamp) {
-        self.schedules.values_mut().for_each(|schedule| schedule.next = now);
+        self.schedules.values_mut().for_each(|schedule| schedule.next_read_at = now);
     }
 }
--- a/crates/core/src/streams.rs
+++ b/crates/core/src/streams.rs
@@ -34,7 +34,7 @@
 }
 
 /// Targets tried for one stream at most.
-const MAX_TRIES: usize = 3;
+const MAX_ATTEMPTS: usize = 3;
 
 impl Streams {
     /// Returns how many streams are open.
@@ -58,7 +58,7 @@
         view: &View,
         health: &TargetStatusCache,
     ) -> Option<SocketAddr> {
-        self.place(now, id, key, Vec::new(), view, health)
+        self.open_at_target(now, id, key, Vec::new(), view, health)
     }
 
     /// Chooses another target after the one chosen refused the connection, of which nothing was sent yet.
@@ -72,13 +72,13 @@
         let stream = self.close(id)?;
         let mut refused = stream.refused;
         refused.push(stream.target);
-        if refused.len() >= MAX_TRIES {
+        if refused.len() >= MAX_ATTEMPTS {
             return None;
         }
-        self.place(now, id, stream.key, refused, view, health)
+        self.open_at_target(now, id, stream.key, refused, view, health)
     }
 
-    fn place(
+    fn open_at_target(
         &mut self,
         now: Timestamp,
         id: StreamId,
@@ -87,14 +87,14 @@
         view: &View,
         health: &TargetStatusCache,
     ) -> Option<SocketAddr> {
-        let target = self.choose(now, key, &refused, view, health)?;
+        let target = self.choose_target(now, key, &refused, view, health)?;
         let failure_domain = view.catalog().domains()[target.domain].name.clone();
         *self.by_target.entry(target.id).or_default() += 1;
         self.streams.insert(id, Stream { key, target: target.id, failure_domain, refused });
         Some(target.address)
     }
 
-    fn choose<'a>(
+    fn choose_target<'a>(
         &self,
         now: Timestamp,
         key: FlowKey,
@@ -113,8 +113,8 @@
             let share = (target.connections / instances).max(1);
             let full = self.by_target.get(&target.id).is_some_and(|open| *open >= share);
             let status = health.status(now, target.id);
-            let unfit = matches!(status, Some(TargetStatus::Down | TargetStatus::Leaving));
-            !target.leaving && !full && !unfit && !refused.contains(&target.id)
+            let unavailable = matches!(status, Some(TargetStatus::Down | TargetStatus::Leaving));
+            !target.leaving && !full && !unavailable && !refused.contains(&target.id)
         });
         rendezvous::pick(hash, usable, |target| target.id)
     }
--- a/crates/core/src/view.rs
+++ b/crates/core/src/view.rs
@@ -1,8 +1,8 @@
-//! What an instance believes of the fleet at one moment: the set in force and who serves.
+//! An instance's view of the fleet: the active configuration set and the serving instances.
 //!
-//! Two instances with equal views compute equal homes and keepers without a message. Views differ for as long as news
-//! travels, which is why packets are forwarded under a hop limit and why earlier views are remembered
-//! ([`crate::flows`]).
+//! Two instances with equal views compute the same home for each flow and the same coordinator for each target, without
+//! exchanging messages. Views differ while a change propagates. For that time packets are forwarded with a hop limit,
+//! and instances remember earlier views ([`crate::flows`]).
 
 use std::sync::Arc;
 
@@ -16,131 +16,134 @@
 use hawthornshift_model::InstanceId;
 use hawthornshift_model::TargetId;
 
-/// An instance that can be a home or a keeper.
+/// An instance that can be the home of flows and the coordinator of targets.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct ServingInstance {
-    /// The instance.
+    /// Identifier of the instance.
     pub id: InstanceId,
-    /// Its life.
+    /// Start time of the instance, in milliseconds since the Unix epoch.
     pub incarnation: Incarnation,
 }
 
-/// How far an instance may trust its view.
+/// State of the lease under which an instance acts on its view; contact with peers renews the lease.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum LeaseState {
-    /// Peers have been heard of within the lease.
+    /// A peer was in contact within the lease time.
     Valid,
-    /// No peer has been heard of within the lease: others may act on another view.
+    /// No peer was in contact within the lease time, so other instances may act on a different view.
     Expired,
-    /// The instance was paused or has just started; nothing is decided on the view.
+    /// The instance has just started or was paused; it makes no decisions until its view is confirmed.
     Fenced,
 }
 
-/// The set in force and the instances that serve, by failure domain.
+/// The active configuration set and the serving instances by failure domain.
 #[derive(Clone, Debug, Default)]
 pub struct View {
     catalog: Arc<Catalog>,
     by_domain: Vec<Vec<ServingInstance>>,
-    everywhere: Vec<ServingInstance>,
+    all_serving: Vec<ServingInstance>,
     digest: u64,
 }
 
 impl View {
-    /// Makes the view from a set and the serving instances, each with the name of its failure domain.
+    /// Creates a view from a set and the serving instances, each with the name of its failure domain.
     ///
-    /// Instances of a domain that is out of service, or that the set does not name, get no part in it.
+    /// Instances of a domain that is out of service, or that the set does not contain, are left out.
     #[must_use]
     pub fn new<'a>(catalog: Arc<Catalog>, serving: impl IntoIterator<Item = (ServingInstance, &'a str)>) -> Self {
         let mut by_domain = vec![Vec::new(); catalog.domains().len()];
-        let mut everywhere = Vec::new();
-        for (seat, domain) in serving {
+        let mut all_serving = Vec::new();
+        for (instance, domain) in serving {
             let Some(index) = catalog.domain_index(domain) else { continue };
             if catalog.domains()[index].in_service {
-                by_domain[index].push(seat);
-                everywhere.push(seat);
+                by_domain[index].push(instance);
+                all_serving.push(instance);
             }
         }
-        for seats in &mut by_domain {
-            seats.sort_unstable();
+        for instances in &mut by_domain {
+            instances.sort_unstable();
         }
-        everywhere.sort_unstable();
-        let digest = digest(&catalog, &everywhere);
-        Self { catalog, by_domain, everywhere, digest }
+        all_serving.sort_unstable();
+        let digest = digest(&catalog, &all_serving);
+        Self { catalog, by_domain, all_serving, digest }
     }
 
-    /// Returns the set in force.
+    /// Returns the compiled active set.
     #[must_use]
     pub fn catalog(&self) -> &Arc<Catalog> {
         &self.catalog
     }
 
-    /// Returns a hash that is equal on instances with equal views.
+    /// Returns a hash of the view; instances with equal views have equal hashes.
     #[must_use]
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// Returns every instance that serves, sorted.
+    /// Returns all serving instances, sorted by identifier.
     #[must_use]
     pub fn serving(&self) -> &[ServingInstance] {
-        &self.everywhere
+        &self.all_serving
     }
 
-    /// Tells whether an instance can be a home or a keeper.
+    /// Returns whether an instance can be the home of flows and the coordinator of targets.
     #[must_use]
     pub fn serves(&self, id: InstanceId) -> bool {
-        self.everywhere.iter().any(|seat| seat.id == id)
+        self.all_serving.iter().any(|instance| instance.id == id)
     }
 
-    /// Returns the instances that stand for a failure domain: its own, or all others when it has none left.
+    /// Returns the instances that serve a failure domain: its own, or all serving instances if it has none.
     #[must_use]
     pub fn serving_for(&self, domain: DomainIndex) -> &[ServingInstance] {
         match self.by_domain.get(domain) {
-            Some(seats) if !seats.is_empty() => seats,
-            _ => &self.everywhere,
+            Some(instances) if !instances.is_empty() => instances,
+            _ => &self.all_serving,
         }
     }
 
-    /// Returns the home of a flow of `hash` to `service`.
+    /// Returns the home of the flow with this hash to `service`; `None` if no instance serves, or if no failure domain
+    /// in service has slots for the service.
     #[must_use]
     pub fn home(&self, hash: u64, service: &ServiceEntry) -> Option<InstanceId> {
         let domain = self.catalog.domain_of(hash, service)?;
-        self.rank_first(hash, domain)
+        self.highest_ranked(hash, domain)
     }
 
-    /// Returns the instance that becomes a flow's home when `home` goes.
+    /// Returns the instance that becomes the home of the flow if `home` fails.
     #[must_use]
     pub fn standby(&self, hash: u64, service: &ServiceEntry, home: InstanceId) -> Option<InstanceId> {
         let domain = self.catalog.domain_of(hash, service)?;
-        let seats = self.serving_for(domain);
-        // The last of its failure domain is followed by one of another.
-        let seats = if seats.len() > 1 { seats } else { &self.everywhere };
-        let others = seats.iter().copied().filter(|seat| seat.id != home);
-        rendezvous::pick(hash, others, |seat| u64::from(seat.id)).map(|seat| seat.id)
+        let instances = self.serving_for(domain);
+        // If `home` is the only instance of its failure domain, an instance of another domain succeeds it.
+        let instances = if instances.len() > 1 { instances } else { &self.all_serving };
+        let others = instances.iter().copied().filter(|instance| instance.id != home);
+        rendezvous::pick(hash, others, |instance| u64::from(instance.id)).map(|instance| instance.id)
     }
 
-    /// Returns the one instance through which a target's requests pass.
+    /// Returns the coordinator of a target: the one instance through which all requests to it pass. Returns `None` if
+    /// the set does not contain the target or its failure domain is out of service.
     #[must_use]
     pub fn coordinator(&self, target: TargetId) -> Option<InstanceId> {
         let domain = self.catalog.target(target)?.domain;
         if !self.catalog.domains()[domain].in_service {
             return None;
         }
-        self.rank_first(target, domain)
+        self.highest_ranked(target, domain)
     }
 
-    fn rank_first(&self, key: u64, domain: DomainIndex) -> Option<InstanceId> {
-        rendezvous::pick(key, self.serving_for(domain).iter().copied(), |seat| u64::from(seat.id)).map(|seat| seat.id)
+    fn highest_ranked(&self, key: u64, domain: DomainIndex) -> Option<InstanceId> {
+        rendezvous::pick(key, self.serving_for(domain).iter().copied(), |instance| u64::from(instance.id))
+            .map(|instance| instance.id)
     }
 }
 
-fn digest(catalog: &Catalog, seats: &[ServingInstance]) -> u64 {
+fn digest(catalog: &Catalog, instances: &[ServingInstance]) -> u64 {
     let mut hasher = Xxh3::new();
     hasher.update(&catalog.revision().to_le_bytes());
     hasher.update(&catalog.digest().to_le_bytes());
-    for seat in seats {
-        hasher.update(&seat.id.to_le_bytes());
-        hasher.update(&seat.incarnation.to_le_bytes());
+    for instance in instances {
+        hasher.update(&instance.id.to_le_bytes());
+        hasher.update(&instance.incarnation.to_le_bytes());
     }
     hasher.digest()
 }
