--- a/crates/core/src/catalog.rs
+++ b/crates/core/src/catalog.rs
@@ -1,4 +1,4 @@
-//! A checked set, compiled for look-ups.
+//! A checked configuration set, compiled for look-ups.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,88 +17,89 @@
 use hawthornshift_model::ServiceId;
 use hawthornshift_model::TargetId;
 
-/// Position of a failure domain in its catalog.
+/// Index of a failure domain in its catalog.
 pub type DomainIndex = usize;
 
-/// Position of a target group in its catalog; another set may order groups otherwise.
+/// Index of a target group in its catalog. It is valid only for that catalog, because another set may order the groups
+/// differently.
 pub type GroupIndex = usize;
 
-/// Hash of a target group's name; the same in every set.
+/// XXH3 hash of a target group's name; the same in every set.
 pub type GroupId = u64;
 
-/// A failure domain as decisions use it.
+/// A failure domain of the catalog.
 #[derive(Clone, Debug)]
 pub struct DomainEntry {
-    /// The domain's name.
+    /// Name of the failure domain.
     pub name: String,
-    /// Whether it may carry traffic.
+    /// Whether the failure domain may carry traffic.
     pub in_service: bool,
-    /// What rendezvous hashing ranks it by.
+    /// Seed of the failure domain for rendezvous hashing.
     seed: u64,
 }
 
-/// A target as decisions use it.
+/// A target of the catalog.
 #[derive(Clone, Debug)]
 pub struct TargetEntry {
-    /// Identity.
+    /// Identifier of the target.
     pub id: TargetId,
-    /// Name within its group.
+    /// Name of the target, unique within its group.
     pub name: String,
-    /// Its group.
+    /// Index of the target's group in this catalog.
     pub group: GroupIndex,
-    /// The same group, as it is called across sets.
+    /// Identifier of the target's group, the same in every set.
     pub group_id: GroupId,
-    /// Where it runs.
+    /// Failure domain in which the target runs.
     pub domain: DomainIndex,
-    /// Where it serves.
+    /// Address at which the target serves traffic.
     pub address: SocketAddr,
-    /// Where it answers health checks.
+    /// Address at which the target answers health checks.
     pub health: SocketAddr,
-    /// Requests it can run at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Flows it can hold at once.
+    /// Maximum number of concurrent flows, and of concurrent streams.
     pub connections: u32,
-    /// Whether it gets nothing new.
+    /// Whether the target gets no new requests, flows or streams.
     pub leaving: bool,
 }
 
-/// A target group as decisions use it.
+/// A target group of the catalog.
 #[derive(Clone, Debug)]
 pub struct GroupEntry {
-    /// The group's name.
+    /// Name of the group.
     pub name: String,
-    /// Whether any service sends it requests, whose answers prove what its targets bear.
+    /// Whether any service sends requests to the group. Their outcomes then show how much load its targets can take.
     pub takes_requests: bool,
-    /// Its targets by failure domain.
+    /// Targets of the group by failure domain.
     pub by_domain: Vec<Vec<TargetId>>,
-    /// Slots by failure domain; what domains are weighted by.
+    /// Number of slots by failure domain, used as the weight of the domain.
     slots: Vec<u32>,
 }
 
-/// A service as decisions use it.
+/// A service of the catalog.
 #[derive(Clone, Debug)]
 pub struct ServiceEntry {
-    /// Identity.
+    /// Identifier of the service.
     pub id: ServiceId,
-    /// Name.
+    /// Name of the service.
     pub name: String,
-    /// How callers speak to it.
+    /// Protocol that callers use.
     pub protocol: Protocol,
-    /// Where callers reach it.
+    /// Address that callers use.
     pub address: SocketAddr,
-    /// Who serves it.
+    /// Index in this catalog of the target group that serves the service.
     pub group: GroupIndex,
-    /// The same group, as it is called across sets.
+    /// Identifier of that target group, the same in every set.
     pub group_id: GroupId,
-    /// Who goes first.
+    /// Class of the service's requests; it determines their order in queues.
     pub class: Class,
-    /// Longest time of a request whose caller sets none.
+    /// Timeout of a request whose caller sets none.
     pub timeout: Duration,
-    /// Time after which a silent flow is forgotten.
+    /// Idle timeout of flows.
     pub idle: Duration,
 }
 
-/// A checked set, compiled for look-ups; the same on every instance that holds the same set.
+/// A checked configuration set, compiled for look-ups. Instances with the same set have equal catalogs.
 #[derive(Clone, Debug, Default)]
 pub struct Catalog {
     checked: Option<Arc<CheckedSet>>,
@@ -133,7 +134,7 @@
                 slots: vec![0; self.domains.len()],
             };
             for target in &group.targets {
-                // The check has refused sets with dangling names, so every target has a domain.
+                // The check rejects a set in which a target names an unknown failure domain, so this always succeeds.
                 let Some(domain) = self.domain_index(&target.failure_domain) else { continue };
                 let id = target.id(&group.name);
                 entry.by_domain[domain].push(id);
@@ -178,25 +179,25 @@
         }
     }
 
-    /// Returns the set this was compiled from; none before the first.
+    /// Returns the set from which the catalog was compiled; `None` before the first set.
     #[must_use]
     pub fn checked(&self) -> Option<&Arc<CheckedSet>> {
         self.checked.as_ref()
     }
 
-    /// Returns the revision; zero before the first set.
+    /// Returns the revision of the set; 0 before the first set.
     #[must_use]
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// Returns the hash of the content; zero before the first set.
+    /// Returns the hash of the set's content; 0 before the first set.
     #[must_use]
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// Returns a service by its identity.
+    /// Returns a service by its identifier.
     #[must_use]
     pub fn service(&self, id: ServiceId) -> Option<&ServiceEntry> {
         self.services.get(&id)
@@ -207,13 +208,13 @@
         self.services.values()
     }
 
-    /// Returns a target by its identity.
+    /// Returns a target by its identifier.
     #[must_use]
     pub fn target(&self, id: TargetId) -> Option<&TargetEntry> {
         self.targets.get(&id)
     }
 
-    /// Returns the target that serves at an address.
+    /// Returns the target with this service address.
     #[must_use]
     pub fn target_at(&self, address: SocketAddr) -> Option<TargetId> {
         self.by_address.get(&address).copied()
@@ -224,7 +225,7 @@
         self.targets.values()
     }
 
-    /// Returns a group.
+    /// Returns a target group of this catalog.
     #[must_use]
     pub fn group(&self, index: GroupIndex) -> &GroupEntry {
         &self.groups[index]
@@ -236,22 +237,23 @@
         &self.domains
     }
 
-    /// Returns the position of a failure domain.
+    /// Returns the index of the failure domain with this name.
     #[must_use]
     pub fn domain_index(&self, name: &str) -> Option<DomainIndex> {
         self.domains.iter().position(|domain| domain.name == name)
     }
 
-    /// Tells whether a failure domain of that name may carry traffic; one that no set knows may not.
+    /// Returns whether the failure domain with this name may carry traffic; `false` if the set does not contain it.
     #[must_use]
     pub fn domain_in_service(&self, name: &str) -> bool {
         self.domains.iter().any(|domain| domain.name == name && domain.in_service)
     }
 
-    /// Returns the failure domain that a flow of `hash` to `service` lives in.
+    /// Returns the failure domain to which a flow with this hash to `service` belongs; `None` if no domain in service
+    /// has slots for the service.
     ///
-    /// The weights are the slots of the published set alone. Counts of what is alive would differ between instances
-    /// and would move established flows across domains at every crash.
+    /// The weights are the slots in the published set. The number of live instances or targets is not used, because it
+    /// would differ between instances and would move established flows to other domains at every crash.
     #[must_use]
     pub fn domain_of(&self, hash: u64, service: &ServiceEntry) -> Option<DomainIndex> {
         let slots = &self.groups[service.group].slots;
--- a/crates/core/src/configuration.rs
+++ b/crates/core/src/configuration.rs
@@ -1,9 +1,9 @@
-//! Which published set is in force.
+//! Selection of the active configuration set.
 //!
-//! Sets reach an instance from the platform and from peers, in any order and more than once. Two rules make every
-//! instance end with the same one and keep it: a set of a lower revision never replaces a higher one, and of two
-//! sets with one revision the one with the greater content hash holds. The latter should never occur; it is counted,
-//! and resolved alike everywhere rather than by who came first.
+//! An instance receives published sets from the platform and from peers, in any order and possibly repeated. Two rules
+//! make all instances converge on the same set: a set never replaces one of a higher revision, and of two different
+//! sets with the same revision the one with the greater content hash wins. Two sets with one revision should never
+//! occur. The case is counted, and resolved in the same way on every instance instead of by order of arrival.
 
 use std::sync::Arc;
 
@@ -14,20 +14,20 @@
 use hawthornshift_model::CheckedSet;
 use hawthornshift_model::Revision;
 
-/// What became of an offered set.
+/// The result of [`Configuration::offer`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Adoption {
-    /// It is in force now.
+    /// The set had a higher revision and is active now.
     Adopted,
-    /// It was in force already.
+    /// The set was already active.
     Known,
-    /// A later one is in force.
+    /// A set with a higher revision is active.
     Stale,
-    /// Another one of its revision was in force; the one with the greater hash is now.
+    /// A different set with the same revision was active; the one with the greater content hash is active now.
     Clash,
 }
 
-/// The set in force and how it came to be.
+/// The active configuration set, with counters of the sets that were offered.
 #[derive(Clone, Debug, Default)]
 pub struct Configuration {
     catalog: Arc<Catalog>,
@@ -38,7 +38,8 @@
 }
 
 impl Configuration {
-    /// Offers a set, which comes into force if it is later than the present one.
+    /// Offers a set, which becomes active if its revision is higher than that of the active set, or equal with a
+    /// greater content hash.
     pub fn offer(
         &mut self,
         now: Timestamp,
@@ -72,36 +73,36 @@
         invariant_counters.assert(self.revision() >= before, Invariant::RevisionNeverFalls);
     }
 
-    /// Counts a set that failed the check.
+    /// Counts a set that failed its check.
     pub fn count_refused(&mut self) {
         self.refused += 1;
     }
 
-    /// Returns the set in force.
+    /// Returns the compiled active set.
     #[must_use]
     pub fn catalog(&self) -> &Arc<Catalog> {
         &self.catalog
     }
 
-    /// Returns the revision in force; zero before the first.
+    /// Returns the revision of the active set; 0 before the first set.
     #[must_use]
     pub fn revision(&self) -> Revision {
         self.catalog.revision()
     }
 
-    /// Returns when the present set came into force.
+    /// Returns the time at which the active set was adopted.
     #[must_use]
     pub fn adopted_at(&self) -> Timestamp {
         self.adopted_at
     }
 
-    /// Returns how often two sets had one revision.
+    /// Returns how often an offered set differed from the active set of the same revision.
     #[must_use]
     pub fn clashes(&self) -> u64 {
         self.clashes
     }
 
-    /// Returns how many sets failed the check.
+    /// Returns the number of sets that failed their check.
     #[must_use]
     pub fn refused(&self) -> u64 {
         self.refused
--- a/crates/core/src/coordinator.rs
+++ b/crates/core/src/coordinator.rs
@@ -64,7 +64,7 @@
 #[derive(Clone, Copy, Debug)]
 struct ReleaseReport {
     running: u32,
-    until: Timestamp,
+    expires_at: Timestamp,
 }
 
 /// State of one target that this instance coordinates.
@@ -111,7 +111,7 @@
     }
 
     fn running_at_former(&self, now: Timestamp) -> u32 {
-        let counted = self.release_reports.values().filter(|report| now < report.until);
+        let counted = self.release_reports.values().filter(|report| now < report.expires_at);
         counted.map(|report| report.running).sum()
     }
 
@@ -271,8 +271,9 @@
         let own_targets: Vec<&TargetEntry> =
             catalog.targets().filter(|target| view.coordinator(target.id) == Some(self.me)).collect();
         let assigned: BTreeSet<TargetId> = own_targets.iter().map(|target| target.id).collect();
-        let lost: Vec<TargetId> = self.coordinated.keys().copied().filter(|id| !assigned.contains(id)).collect();
-        for id in lost {
+        let lost_targets: Vec<TargetId> =
+            self.coordinated.keys().copied().filter(|id| !assigned.contains(id)).collect();
+        for id in lost_targets {
             self.release_target(now, id);
         }
         for target in own_targets {
@@ -328,7 +329,7 @@
     /// Records how many requests the `former` coordinator of a target still runs there, and ends the target's hold.
     pub fn released_by(&mut self, now: Timestamp, former: InstanceId, target: TargetId, running: u32) {
         let Some(coordinated) = self.coordinated.get_mut(&target) else { return };
-        coordinated.release_reports.insert(former, ReleaseReport { running, until: now + RELEASE_VALIDITY });
+        coordinated.release_reports.insert(former, ReleaseReport { running, expires_at: now + RELEASE_VALIDITY });
         coordinated.held_until = coordinated.held_until.min(now);
     }
 
--- a/crates/core/src/flows/advertise.rs
+++ b/crates/core/src/flows/advertise.rs
@@ -35,7 +35,7 @@
 const MAX_SENDS: u32 = 5;
 
 #[derive(Clone, Debug)]
-struct Pending {
+struct PendingBatch {
     to: InstanceId,
     batch: FlowBatch,
     last_sent_at: Timestamp,
@@ -48,9 +48,10 @@
 /// Advertises the flows of one instance and hands them over.
 #[derive(Clone, Debug, Default)]
 pub struct Advertiser {
+    /// Index of the next flow record to scan; `None` when no scan is in progress.
     cursor: Option<usize>,
     backlog: Backlog,
-    pending: BTreeMap<Sequence, Pending>,
+    pending: BTreeMap<Sequence, PendingBatch>,
     next_sequence: Sequence,
     /// Whether a misplaced flow was added, or a batch was dropped, since the last scan started.
     needs_scan: bool,
@@ -153,8 +154,8 @@
         while self.pending.len() < MAX_PENDING_BATCHES {
             let Some(mut entry) = self.backlog.first_entry() else { return };
             let (to, seat, handover) = *entry.key();
-            let rest = entry.get().len().saturating_sub(MAX_BATCH_FLOWS);
-            let flows = entry.get_mut().split_off(rest);
+            let split_at = entry.get().len().saturating_sub(MAX_BATCH_FLOWS);
+            let flows = entry.get_mut().split_off(split_at);
             if entry.get().is_empty() {
                 entry.remove();
             }
@@ -168,7 +169,7 @@
                 flows,
             };
             messages.push((to, batch.clone()));
-            self.pending.insert(self.next_sequence, Pending { to, batch, last_sent_at: now, send_count: 1 });
+            self.pending.insert(self.next_sequence, PendingBatch { to, batch, last_sent_at: now, send_count: 1 });
         }
     }
 }
--- a/crates/core/src/flows/mod.rs
+++ b/crates/core/src/flows/mod.rs
@@ -257,8 +257,7 @@
         known.unwrap_or_else(|| self.decide_unknown(packet, service, cx, invariant_counters))
     }
 
-    /// Returns the action for a packet whose flow has a record here, or `None` if the record was out of date and has
-    /// been removed.
+    /// Returns the action for a packet whose flow has a record here, or `None` if the record cannot be used.
     fn decide_known(
         &mut self,
         packet: Packet,
@@ -304,7 +303,7 @@
     /// returns `None`.
     fn send_to_holder(&mut self, packet: Packet, holder: InstanceId, cx: FlowContext<'_>) -> Option<PacketAction> {
         if let (ForwardPurpose::Ask { position }, true) = (packet.purpose, packet.from == Some(holder)) {
-            // The holder has resumed from a pause and queries whether another instance took over the flow, but none has.
+            // The holder has resumed from a pause and queries whether another instance took over the flow. None has.
             return self.forward(packet, holder, ForwardPurpose::Return { position }, cx);
         }
         let usable = may_forward_to(packet.now, holder, cx) && packet.hops_left > 0 && packet.from != Some(holder);
@@ -565,10 +564,10 @@
     pub fn batch_acknowledged(&mut self, now: Timestamp, sequence: u64, superseded: &[SocketAddr]) {
         let Some(batch) = self.advertiser.acknowledged(sequence) else { return };
         for flow in &batch.flows {
-            let lost = superseded.contains(&flow.caller);
-            self.counts.handed_over += u64::from(batch.handover && !lost);
-            self.counts.advertised += u64::from(!batch.handover && !lost);
-            if batch.handover || lost {
+            let is_superseded = superseded.contains(&flow.caller);
+            self.counts.handed_over += u64::from(batch.handover && !is_superseded);
+            self.counts.advertised += u64::from(!batch.handover && !is_superseded);
+            if batch.handover || is_superseded {
                 self.table.mark_handed_over(now, &FlowKey { service: batch.service, caller: flow.caller });
             }
         }
--- a/crates/core/src/flows/table.rs
+++ b/crates/core/src/flows/table.rs
@@ -55,7 +55,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-enum State {
+enum RecordState {
     Vacant,
     Here {
         seat: BindingIndex,
@@ -74,7 +74,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Record {
     key: FlowKey,
-    state: State,
+    state: RecordState,
     /// Start of the flow, in milliseconds on the same clock as `last_packet_ms`.
     started_ms: u32,
     /// Time of the last packet, in milliseconds on the process's clock. The value wraps around after 49 days.
@@ -135,8 +135,10 @@
 pub struct TargetBinding {
     descriptor: TargetDescriptor,
     service: ServiceId,
+    /// Index of the port allocator of the target's address.
     ports: usize,
-    live: u32,
+    /// Number of flows held here that use this binding.
+    held_flows: u32,
     block: Option<BlockReason>,
 }
 
@@ -273,7 +275,7 @@
     #[must_use]
     pub fn held_for(&self, target: TargetId) -> u32 {
         let bindings = self.by_target.get(&target).into_iter().flatten();
-        bindings.map(|seat| self.seat(*seat).live).sum()
+        bindings.map(|seat| self.seat(*seat).held_flows).sum()
     }
 
     /// Checks every target binding against a new set.
@@ -299,7 +301,7 @@
     pub fn held_at(&self, now: Timestamp, position: usize) -> Option<HeldFlow> {
         let record = self.records.get(position)?;
         match record.state {
-            State::Here { seat, .. } => {
+            RecordState::Here { seat, .. } => {
                 Some(HeldFlow { service: record.key.service, seat, descriptor: record.descriptor(now) })
             }
             _ => None,
@@ -353,9 +355,9 @@
             self.vacant.push(slot);
             return None;
         };
-        self.bindings[seat as usize].live += 1;
+        self.bindings[seat as usize].held_flows += 1;
         let record = &mut self.records[slot as usize];
-        record.state = State::Here { seat, local_port };
+        record.state = RecordState::Here { seat, local_port };
         record.started_ms = wrapping_millis(now).wrapping_sub(age_ms);
         self.held += 1;
         self.insert_index(&key, slot);
@@ -368,7 +370,7 @@
         self.remove(now, &key);
         let Some(slot) = self.allocate_record(now, key) else { return };
         let record = &mut self.records[slot as usize];
-        record.state = State::Elsewhere { holder };
+        record.state = RecordState::Elsewhere { holder };
         record.started_ms = wrapping_millis(now).wrapping_sub(descriptor.age_ms);
         record.last_packet_ms = wrapping_millis(now).wrapping_sub(descriptor.idle_ms);
         self.elsewhere += 1;
@@ -378,7 +380,7 @@
     fn allocate_record(&mut self, now: Timestamp, key: FlowKey) -> Option<SlotIndex> {
         let record = Record {
             key,
-            state: State::Vacant,
+            state: RecordState::Vacant,
             started_ms: wrapping_millis(now),
             last_packet_ms: wrapping_millis(now),
         };
@@ -411,7 +413,13 @@
         }
         let index = BindingIndex::try_from(self.bindings.len()).unwrap_or(BindingIndex::MAX);
         let ports = self.intern_ports(descriptor.address);
-        self.bindings.push(TargetBinding { descriptor: descriptor.clone(), service, ports, live: 0, block: None });
+        self.bindings.push(TargetBinding {
+            descriptor: descriptor.clone(),
+            service,
+            ports,
+            held_flows: 0,
+            block: None,
+        });
         self.by_service_and_target.insert((service, descriptor.id), index);
         self.by_target.entry(descriptor.id).or_default().push(index);
         index
@@ -430,16 +438,16 @@
     pub fn remove(&mut self, now: Timestamp, key: &FlowKey) {
         let Some(slot) = self.remove_index(key) else { return };
         match self.records[slot as usize].state {
-            State::Here { seat, local_port } => {
-                self.bindings[seat as usize].live -= 1;
+            RecordState::Here { seat, local_port } => {
+                self.bindings[seat as usize].held_flows -= 1;
                 self.release(now, seat, local_port);
                 self.held -= 1;
             }
-            State::HandedOver { seat, local_port } => self.release(now, seat, local_port),
-            State::Elsewhere { .. } => self.elsewhere -= 1,
-            State::Vacant => {}
+            RecordState::HandedOver { seat, local_port } => self.release(now, seat, local_port),
+            RecordState::Elsewhere { .. } => self.elsewhere -= 1,
+            RecordState::Vacant => {}
         }
-        self.records[slot as usize].state = State::Vacant;
+        self.records[slot as usize].state = RecordState::Vacant;
         self.vacant.push(slot);
     }
 
@@ -453,10 +461,10 @@
     pub fn mark_handed_over(&mut self, now: Timestamp, key: &FlowKey) {
         let Some(slot) = self.find(key) else { return };
         let record = &mut self.records[slot as usize];
-        if let State::Here { seat, local_port } = record.state {
-            record.state = State::HandedOver { seat, local_port };
+        if let RecordState::Here { seat, local_port } = record.state {
+            record.state = RecordState::HandedOver { seat, local_port };
             record.last_packet_ms = wrapping_millis(now);
-            self.bindings[seat as usize].live -= 1;
+            self.bindings[seat as usize].held_flows -= 1;
             self.held -= 1;
         }
     }
@@ -476,15 +484,15 @@
         let slot = (*ports.slots.get(usize::from(local_port))?)?;
         let record = &mut self.records[slot as usize];
         let seat = match record.state {
-            State::Here { seat, .. } => {
+            RecordState::Here { seat, .. } => {
                 if record.is_unconfirmed(now, unconfirmed_before) {
                     return None;
                 }
                 record.last_packet_ms = wrapping_millis(now);
                 seat
             }
-            State::HandedOver { seat, .. } => seat,
-            State::Elsewhere { .. } | State::Vacant => return None,
+            RecordState::HandedOver { seat, .. } => seat,
+            RecordState::Elsewhere { .. } | RecordState::Vacant => return None,
         };
         Some((record.key, &self.bindings[seat as usize]))
     }
@@ -499,16 +507,16 @@
             let record = self.records[self.expiry_cursor];
             let Record { key, state, .. } = record;
             let limit = match state {
-                State::Vacant => continue,
-                State::HandedOver { .. } => HANDED_OVER_REPLY_TIME,
-                State::Here { .. } => idle_timeout(key.service).unwrap_or(UNKNOWN_SERVICE_IDLE_TIMEOUT),
+                RecordState::Vacant => continue,
+                RecordState::HandedOver { .. } => HANDED_OVER_REPLY_TIME,
+                RecordState::Here { .. } => idle_timeout(key.service).unwrap_or(UNKNOWN_SERVICE_IDLE_TIMEOUT),
                 // The holder advertises the flow periodically for as long as the flow lasts.
-                State::Elsewhere { .. } => {
+                RecordState::Elsewhere { .. } => {
                     idle_timeout(key.service).unwrap_or(UNKNOWN_SERVICE_IDLE_TIMEOUT).max(ADVERTISE_PERIOD * 2)
                 }
             };
             if record.idle_time(now) >= limit {
-                expired += u64::from(matches!(state, State::Here { .. }));
+                expired += u64::from(matches!(state, RecordState::Here { .. }));
                 self.remove(now, &key);
             }
         }
@@ -516,11 +524,11 @@
     }
 }
 
-fn holder(state: State) -> Option<Holder> {
+fn holder(state: RecordState) -> Option<Holder> {
     match state {
-        State::Here { seat, local_port } => Some(Holder::Here { seat, local_port }),
-        State::Elsewhere { holder } => Some(Holder::Instance(holder)),
-        State::Vacant | State::HandedOver { .. } => None,
+        RecordState::Here { seat, local_port } => Some(Holder::Here { seat, local_port }),
+        RecordState::Elsewhere { holder } => Some(Holder::Instance(holder)),
+        RecordState::Vacant | RecordState::HandedOver { .. } => None,
     }
 }
 
--- a/crates/core/src/platform.rs
+++ b/crates/core/src/platform.rs
@@ -1,9 +1,10 @@
-//! When to read the platform.
+//! Schedule of the reads from the platform.
 //!
-//! The platform counts every call, and a waiting watch as one, so reads must not grow with the fleet. In each failure
-//! domain one instance, by rank, keeps a watch open; the others hear the news from peers and read only now and then,
-//! at random times, in case the watcher is cut off or stuck. After a failure reads back off, also at random, so that
-//! a platform that comes back is not met by everyone at once.
+//! The platform counts every call, and a pending watch as one call, so the number of reads must not grow with the
+//! fleet. In each failure domain one instance, chosen by rendezvous hashing, keeps a watch open. The others receive
+//! changes from peers, and read the platform only rarely, at random intervals, in case the watcher is partitioned or
+//! stuck. After a failure, reads back off with jitter, so that the instances do not all read at once when the platform
+//! recovers.
 
 use std::time::Duration;
 
@@ -18,19 +19,19 @@
 use crate::rendezvous;
 use crate::view::View;
 
-/// How long a watch waits at the platform for something new.
+/// Time for which the platform keeps a watch pending without a change.
 const WATCH_WAIT: Duration = Duration::from_secs(10);
-/// Time between two reads that a watcher leaves at the least.
+/// Minimum time between the answer to a watch and the next watch.
 const WATCH_INTERVAL: Duration = Duration::from_millis(100);
-/// First pause after a failure.
+/// Maximum delay after the first failure; it doubles with every further one.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(500);
-/// Longest pause of one that watches: what operators published meanwhile waits for it.
+/// Maximum delay of a watcher after failures. It is short, because published changes wait for the watcher.
 const MAX_WATCHER_BACKOFF: Duration = Duration::from_secs(2);
-/// Longest pause of one that does not watch.
+/// Maximum delay after failures of an instance that does not watch.
 const MAX_READER_BACKOFF: Duration = Duration::from_secs(15);
-/// Time after which a read that was never answered is given up.
+/// Time after which a read without an answer is abandoned.
 const READ_TIMEOUT: Duration = Duration::from_secs(30);
-/// What the watcher of a failure domain is ranked by.
+/// Rendezvous hashing key that ranks the instances of a failure domain for the watch; ASCII for `watch`.
 const WATCHER_RANK_KEY: u64 = 0x77_61_74_63_68;
 
 #[derive(Clone, Copy, Debug)]
@@ -40,7 +41,7 @@
     failures: u32,
 }
 
-/// When to read what.
+/// Decides when this instance reads each resource of the platform.
 #[derive(Clone, Debug)]
 pub struct PlatformReader {
     schedules: Map<Resource, Schedule>,
@@ -48,7 +49,8 @@
 }
 
 impl PlatformReader {
-    /// Starts with a read of everything; `fallback` is the mean time between reads of one that does not watch.
+    /// Creates a schedule in which all reads are due at `now`; `fallback` is the mean time between two reads of an
+    /// instance that does not watch.
     #[must_use]
     pub fn new(now: Timestamp, fallback: Duration) -> Self {
         let schedule = Schedule { next_read_at: now, pending_since: None, failures: 0 };
@@ -56,10 +58,10 @@
         Self { schedules: schedules.into_iter().collect(), fallback }
     }
 
-    /// Tells whether it falls on this instance to watch the platform for its failure domain.
+    /// Returns whether this instance watches the platform for its failure domain.
     ///
-    /// Instances of a domain that is out have no seat; each of them watches, for the way back is news they must not
-    /// miss.
+    /// Instances of a domain that is out of service are not part of the view. Each of them watches, because none may
+    /// miss the change that returns the domain to service.
     #[must_use]
     pub fn watches(view: &View, me: &MemberUpdate) -> bool {
         let Some(domain) = view.catalog().domain_index(&me.failure_domain) else { return true };
@@ -71,13 +73,14 @@
             .is_none_or(|instance| instance.id == me.id)
     }
 
-    /// Returns how long a read that is due now may wait at the platform.
+    /// Starts a read of `resource` if one is due now, and returns the time for which the platform may keep it pending:
+    /// zero for a plain read. Returns `None` if no read is due.
     pub fn due(&mut self, now: Timestamp, resource: Resource, watches: bool, rng: &mut SmallRng) -> Option<Duration> {
         let schedule = self.schedules.get_mut(&resource)?;
         if schedule.pending_since.is_some_and(|since| now.saturating_sub(since) >= READ_TIMEOUT) {
             schedule.pending_since = None;
         }
-        // One that has just become the watcher need not wait for its next read of now and then.
+        // An instance that has just become the watcher does not wait for its next fallback read.
         let next_watch_at = now + WATCH_INTERVAL.mul_f64(rng.random_range(1.0..2.0));
         if watches && schedule.failures == 0 {
             schedule.next_read_at = schedule.next_read_at.min(next_watch_at);
@@ -89,21 +92,21 @@
         Some(if watches && schedule.failures == 0 { WATCH_WAIT } else { Duration::ZERO })
     }
 
-    /// Notes an answer.
+    /// Records an answer to a read, and schedules the next one.
     pub fn answered(&mut self, now: Timestamp, resource: Resource, watches: bool, rng: &mut SmallRng) {
         let Some(schedule) = self.schedules.get_mut(&resource) else { return };
         schedule.pending_since = None;
         schedule.failures = 0;
         let delay = if watches { WATCH_INTERVAL } else { self.fallback.mul_f64(rng.random_range(0.5..1.5)) };
         schedule.next_read_at = now + delay;
-        // The platform is back: what else was waiting for it need not wait on.
+        // The platform answers again, so reads of other resources need not wait for their backoff.
         for other in self.schedules.values_mut().filter(|other| other.failures > 0) {
             other.failures = 0;
             other.next_read_at = now;
         }
     }
 
-    /// Notes a failure.
+    /// Records a failed read, and schedules the next one after a backoff.
     pub fn failed(&mut self, now: Timestamp, resource: Resource, watches: bool, rng: &mut SmallRng) {
         let Some(schedule) = self.schedules.get_mut(&resource) else { return };
         schedule.pending_since = None;
@@ -113,7 +116,7 @@
         schedule.next_read_at = now + delay.mul_f64(rng.random_range(0.5..1.0));
     }
 
-    /// Makes all reads due at once.
+    /// Makes the reads of all resources due now.
     pub fn read_all_now(&mut self, now: Timestamp) {
         self.schedules.values_mut().for_each(|schedule| schedule.next_read_at = now);
     }
--- a/crates/core/src/streams.rs
+++ b/crates/core/src/streams.rs
@@ -1,7 +1,8 @@
-//! TCP streams, which end at the instance that accepted them.
+//! TCP streams, which the instance that accepted them relays.
 //!
-//! A stream is two connections, and both are this instance's own, so no other instance can take it over. A planned
-//! stop waits for streams to end; a failure domain that is taken out closes those that lead into it.
+//! A stream consists of two connections, from the caller and to the target. Both terminate at this instance, so no
+//! other instance can take the stream over. A planned stop waits for streams to end. When a failure domain is taken out
+//! of service, the streams to its targets are closed.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -23,6 +24,7 @@
     key: FlowKey,
     target: TargetId,
     failure_domain: String,
+    /// Targets that refused the connection of this stream.
     refused: Vec<TargetId>,
 }
 
@@ -33,23 +35,23 @@
     by_target: BTreeMap<TargetId, u32>,
 }
 
-/// Targets tried for one stream at most.
+/// Maximum number of targets tried for one stream.
 const MAX_ATTEMPTS: usize = 3;
 
 impl Streams {
-    /// Returns how many streams are open.
+    /// Returns the number of open streams.
     #[must_use]
     pub fn len(&self) -> usize {
         self.streams.len()
     }
 
-    /// Tells whether no stream is open.
+    /// Returns whether no stream is open.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.streams.is_empty()
     }
 
-    /// Chooses the target of a new stream.
+    /// Opens a stream; returns the address of its target, or `None` if no target can take it.
     pub fn open(
         &mut self,
         now: Timestamp,
@@ -61,7 +63,10 @@
         self.open_at_target(now, id, key, Vec::new(), view, health)
     }
 
-    /// Chooses another target after the one chosen refused the connection, of which nothing was sent yet.
+    /// Handles a connection that the stream's target refused, before anything was sent to the target.
+    ///
+    /// Returns the address of another target. Returns `None` and removes the stream if no target can take it, or after
+    /// three attempts.
     pub fn refused(
         &mut self,
         now: Timestamp,
@@ -119,7 +124,7 @@
         rendezvous::pick(hash, usable, |target| target.id)
     }
 
-    /// Forgets a stream that has ended.
+    /// Removes a stream that has ended.
     pub fn closed(&mut self, id: StreamId) {
         let _ = self.close(id);
     }
@@ -132,7 +137,7 @@
         Some(stream)
     }
 
-    /// Returns the streams that lead into a failure domain which may carry no traffic.
+    /// Returns the streams to targets in failure domains that are out of service.
     #[must_use]
     pub fn leading_out_of_service(&self, catalog: &Catalog) -> Vec<StreamId> {
         let out = self.streams.iter().filter(|(_, stream)| !catalog.domain_in_service(&stream.failure_domain));
--- a/crates/core/src/tuning.rs
+++ b/crates/core/src/tuning.rs
@@ -1,4 +1,4 @@
-//! The times and limits that decisions depend on, checked once.
+//! Times and limits that the decisions of a node depend on, checked once at the start.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 use serde::Serialize;
 use thiserror::Error;
 
-/// Times and limits of a node; made by the builder-like setters and checked by [`Tuning::checked`].
+/// Times and limits of a node, set with builder methods and checked by [`Tuning::checked`].
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Tuning {
@@ -41,31 +41,32 @@
     }
 }
 
-/// Why a tuning was refused.
+/// Error for inconsistent times or limits.
 #[derive(Debug, Error)]
 pub enum TuningError {
     /// A time or limit is zero.
     #[error("{0} must not be zero")]
     Zero(&'static str),
-    /// A paused instance could go on working for targets that others have taken over.
+    /// The lease is not shorter than the suspicion time. A paused instance could then still act on targets that other
+    /// instances have taken over.
     #[error("the lease ({lease:?}) must be shorter than the suspicion time ({suspicion:?})")]
     LeaseTooLong {
-        /// The lease asked for.
+        /// The configured lease.
         lease: Duration,
-        /// The suspicion time asked for.
+        /// The configured suspicion time.
         suspicion: Duration,
     },
-    /// A ping would be given up after the next is due.
+    /// The ping timeout is not shorter than the ping period. A ping would then time out after the next one is due.
     #[error("the ping timeout ({timeout:?}) must be shorter than the ping period ({period:?})")]
     TimeoutTooLong {
-        /// The timeout asked for.
+        /// The configured ping timeout.
         timeout: Duration,
-        /// The period asked for.
+        /// The configured ping period.
         period: Duration,
     },
 }
 
-/// Generates the setters, which differ in nothing but the field.
+/// Generates one builder method per field.
 macro_rules! setters {
     ($($(#[$doc:meta])* $field:ident: $type:ty,)*) => {
         $(
@@ -81,35 +82,36 @@
 
 impl Tuning {
     setters! {
-        /// Sets how often one peer is asked whether it lives.
+        /// Sets the time between two pings; each goes to one peer.
         ping_period: Duration,
-        /// Sets how long an answer is waited for before others are asked to try.
+        /// Sets the time to wait for the acknowledgement of a ping before other instances are requested to ping the
+        /// peer.
         ping_timeout: Duration,
-        /// Sets how long a silent peer is suspected before it counts as dead.
+        /// Sets the time for which a peer that does not respond stays suspect before it is declared dead.
         suspicion: Duration,
-        /// Sets how long an instance trusts its view without word from any peer.
+        /// Sets the time for which an instance acts on its view without contact to any peer.
         lease: Duration,
-        /// Sets how long an earlier view is remembered when its homes do not say they are done.
+        /// Sets the time for which an earlier view is remembered.
         view_memory: Duration,
-        /// Sets the most flows held.
+        /// Sets the maximum number of flow records, of flows held here and elsewhere.
         flow_capacity: usize,
-        /// Sets the longest time a planned stop may take.
+        /// Sets the maximum duration of a planned stop.
         drain: Duration,
-        /// Sets how long a ticket may be redeemed.
+        /// Sets the time for which a ticket can be redeemed after its issue.
         ticket_life: Duration,
-        /// Sets the most bytes of answers kept for retries.
+        /// Sets the maximum size in bytes of all answers stored for retries.
         answer_bytes: usize,
-        /// Sets how many requests may wait for each slot kept.
+        /// Sets the maximum number of queued requests per slot of the coordinated targets.
         queue_per_slot: usize,
-        /// Sets how often an instance that does not watch the platform reads it all the same.
+        /// Sets the mean time between two reads of the platform by an instance that does not watch it.
         platform_fallback: Duration,
     }
 
-    /// Checks the times and limits against each other.
+    /// Checks the times and limits, each alone and against each other.
     ///
     /// # Errors
     ///
-    /// Returns the first time or limit that contradicts another.
+    /// Returns the first time or limit that is zero or contradicts another.
     pub fn checked(self) -> Result<Self, TuningError> {
         let limits = [
             ("ping period", self.ping_period.is_zero()),
@@ -131,7 +133,7 @@
         Ok(self)
     }
 
-    /// Returns the most time that a planned stop may take.
+    /// Returns the maximum duration of a planned stop.
     #[must_use]
     pub fn drain_time(&self) -> Duration {
         self.drain
