--- a/crates/core/src/coordinator.rs
+++ b/crates/core/src/coordinator.rs
@@ -76,15 +76,19 @@
     takes_requests: bool,
     leaving: bool,
     running: u32,
+    /// Reports of former coordinators, by instance.
     release_reports: BTreeMap<InstanceId, ReleaseReport>,
+    /// No request starts at the target before this time, unless a former coordinator reports earlier.
     held_until: Timestamp,
     slow_start: SlowStartLimit,
     down: bool,
-    reported: Option<HealthReport>,
+    /// The last report of the target's health endpoint.
+    last_report: Option<HealthReport>,
     reported_load: Option<u32>,
     failures: u32,
     last_success_at: Option<Timestamp>,
     next_health_check_at: Timestamp,
+    /// The status that [`TargetCoordinator::status_updates`] last returned as changed.
     last_published: Option<TargetStatus>,
 }
 
@@ -101,7 +105,7 @@
             // A new coordinator does not know whether the target is warm, so it starts with the first step.
             slow_start: SlowStartLimit::cold(target.slots),
             down: false,
-            reported: None,
+            last_report: None,
             reported_load: None,
             failures: 0,
             last_success_at: None,
@@ -116,7 +120,7 @@
     }
 
     fn is_leaving(&self) -> bool {
-        self.leaving || self.reported == Some(HealthReport::Leaving)
+        self.leaving || self.last_report == Some(HealthReport::Leaving)
     }
 
     /// Returns how many more requests may start at the target.
@@ -136,12 +140,12 @@
     /// The limit of a target that does not report itself as warm rises more slowly, but it does rise: health reports
     /// lag and can be wrong.
     fn success_multiplier(&self) -> u32 {
-        if self.reported == Some(HealthReport::Warm) { 1 } else { UNREPORTED_SUCCESS_MULTIPLIER }
+        if self.last_report == Some(HealthReport::Warm) { 1 } else { UNREPORTED_SUCCESS_MULTIPLIER }
     }
 
     fn is_warm(&self) -> bool {
         let ramped_up = self.slow_start.is_warm() || !self.takes_requests;
-        match self.reported {
+        match self.last_report {
             Some(HealthReport::Warm) => ramped_up,
             Some(HealthReport::Cold | HealthReport::Leaving) => false,
             None => self.slow_start.is_warm(),
@@ -215,7 +219,7 @@
 pub struct TargetCoordinator {
     me: InstanceId,
     tuning: Tuning,
-    coordinated: BTreeMap<TargetId, CoordinatedTarget>,
+    targets: BTreeMap<TargetId, CoordinatedTarget>,
     queues: BTreeMap<GroupId, Queue>,
     /// Targets that another instance coordinates now, with the number of requests that this instance still runs there.
     released: BTreeMap<TargetId, u32>,
@@ -231,7 +235,7 @@
         Self {
             me,
             tuning,
-            coordinated: BTreeMap::new(),
+            targets: BTreeMap::new(),
             queues: BTreeMap::new(),
             released: BTreeMap::new(),
             unreported_releases: BTreeSet::new(),
@@ -241,14 +245,14 @@
 
     /// Returns the state of the coordinated targets for the dump; `name` maps a target to its display name.
     pub fn targets(&self, name: impl Fn(TargetId) -> String) -> Vec<CoordinatedTargetDump> {
-        let show = |(id, coordinated): (&TargetId, &CoordinatedTarget)| CoordinatedTargetDump {
+        let show = |(id, state): (&TargetId, &CoordinatedTarget)| CoordinatedTargetDump {
             name: name(*id),
-            status: coordinated.status(),
-            running: coordinated.running,
-            limit: coordinated.slow_start.limit(),
-            reported_load: coordinated.reported_load,
+            status: state.status(),
+            running: state.running,
+            limit: state.slow_start.limit(),
+            reported_load: state.reported_load,
         };
-        self.coordinated.iter().map(show).collect()
+        self.targets.iter().map(show).collect()
     }
 
     /// Returns the number of requests that run at targets now, including those at released targets.
@@ -271,8 +275,7 @@
         let own_targets: Vec<&TargetEntry> =
             catalog.targets().filter(|target| view.coordinator(target.id) == Some(self.me)).collect();
         let assigned: BTreeSet<TargetId> = own_targets.iter().map(|target| target.id).collect();
-        let lost_targets: Vec<TargetId> =
-            self.coordinated.keys().copied().filter(|id| !assigned.contains(id)).collect();
+        let lost_targets: Vec<TargetId> = self.targets.keys().copied().filter(|id| !assigned.contains(id)).collect();
         for id in lost_targets {
             self.release_target(now, id);
         }
@@ -284,13 +287,13 @@
     }
 
     fn release_target(&mut self, now: Timestamp, id: TargetId) {
-        let Some(coordinated) = self.coordinated.remove(&id) else { return };
+        let Some(state) = self.targets.remove(&id) else { return };
         // While the target is held, an earlier coordinator has not reported yet, so a release message would be
         // incomplete. Without one, the next coordinator waits for its own hold to expire.
-        if now < coordinated.held_until {
+        if now < state.held_until {
             return;
         }
-        self.released.insert(id, coordinated.running + coordinated.running_at_former(now));
+        self.released.insert(id, state.running + state.running_at_former(now));
         self.unreported_releases.insert(id);
     }
 
@@ -299,25 +302,23 @@
         let next_health_check_at = now + HEALTH_CHECK_PERIOD.mul_f64(rng.random_range(0.0..0.2));
         let previously_running = self.released.remove(&target.id);
         self.unreported_releases.remove(&target.id);
-        let coordinated = self
-            .coordinated
+        let state = self
+            .targets
             .entry(target.id)
             .or_insert_with(|| CoordinatedTarget::new(target, held_until, next_health_check_at));
         if let Some(running) = previously_running {
-            coordinated.running =
-                self.running.values().filter(|id| **id == target.id).count().try_into().unwrap_or(running);
+            state.running = self.running.values().filter(|id| **id == target.id).count().try_into().unwrap_or(running);
         }
-        coordinated.group = target.group_id;
-        coordinated.takes_requests = takes_requests;
-        coordinated.leaving = target.leaving;
-        coordinated.slots = target.slots;
-        coordinated.slow_start.resize(target.slots);
+        state.group = target.group_id;
+        state.takes_requests = takes_requests;
+        state.leaving = target.leaving;
+        state.slots = target.slots;
+        state.slow_start.resize(target.slots);
     }
 
     fn remove_orphaned_requests(&mut self) -> Vec<RequestId> {
         let mut orphaned = Vec::new();
-        let coordinated_groups: BTreeSet<GroupId> =
-            self.coordinated.values().map(|coordinated| coordinated.group).collect();
+        let coordinated_groups: BTreeSet<GroupId> = self.targets.values().map(|state| state.group).collect();
         for (group, queue) in &mut self.queues {
             if !coordinated_groups.contains(group) {
                 orphaned.extend(std::iter::from_fn(|| queue.pop()));
@@ -328,9 +329,9 @@
 
     /// Records how many requests the `former` coordinator of a target still runs there, and ends the target's hold.
     pub fn released_by(&mut self, now: Timestamp, former: InstanceId, target: TargetId, running: u32) {
-        let Some(coordinated) = self.coordinated.get_mut(&target) else { return };
-        coordinated.release_reports.insert(former, ReleaseReport { running, expires_at: now + RELEASE_VALIDITY });
-        coordinated.held_until = coordinated.held_until.min(now);
+        let Some(state) = self.targets.get_mut(&target) else { return };
+        state.release_reports.insert(former, ReleaseReport { running, expires_at: now + RELEASE_VALIDITY });
+        state.held_until = state.held_until.min(now);
     }
 
     /// Returns the released targets with the number of requests that this instance still runs there, for those whose
@@ -358,11 +359,8 @@
         {
             return Admission::Run(target);
         }
-        let members = self
-            .coordinated
-            .values()
-            .filter(|coordinated| coordinated.group == group && !coordinated.is_leaving() && !coordinated.down);
-        let slots: u32 = members.map(|coordinated| coordinated.slots).sum();
+        let members = self.targets.values().filter(|state| state.group == group && !state.is_leaving() && !state.down);
+        let slots: u32 = members.map(|state| state.slots).sum();
         if slots == 0 {
             return Admission::NoTarget;
         }
@@ -405,16 +403,14 @@
         lease_state: LeaseState,
         invariant_counters: &mut InvariantCounters,
     ) -> Option<TargetId> {
-        let members = self.coordinated.iter_mut().filter(|(_, coordinated)| coordinated.group == group);
-        let with_free = members
-            .map(|(id, coordinated)| (coordinated.free(now, lease_state), *id, coordinated))
-            .filter(|(free, ..)| *free > 0);
-        let (_, id, coordinated) = with_free.max_by_key(|(free, id, _)| (*free, *id))?;
-        coordinated.running += 1;
-        invariant_counters.assert(!coordinated.is_leaving(), Invariant::LeavingTargetGetsNothing);
-        invariant_counters.assert(coordinated.running <= coordinated.slots, Invariant::SlotsWithinLimit);
-        invariant_counters
-            .assert(coordinated.running <= coordinated.slow_start.limit(), Invariant::ColdTargetWithinRamp);
+        let members = self.targets.iter_mut().filter(|(_, state)| state.group == group);
+        let states_with_free_slots =
+            members.map(|(id, state)| (state.free(now, lease_state), *id, state)).filter(|(free, ..)| *free > 0);
+        let (_, id, state) = states_with_free_slots.max_by_key(|(free, id, _)| (*free, *id))?;
+        state.running += 1;
+        invariant_counters.assert(!state.is_leaving(), Invariant::LeavingTargetGetsNothing);
+        invariant_counters.assert(state.running <= state.slots, Invariant::SlotsWithinLimit);
+        invariant_counters.assert(state.running <= state.slow_start.limit(), Invariant::ColdTargetWithinRamp);
         self.running.insert(request, id);
         Some(id)
     }
@@ -422,15 +418,15 @@
     /// Returns the number of free slots at the group's coordinated targets.
     #[must_use]
     pub fn free_slots(&self, now: Timestamp, group: GroupId, lease_state: LeaseState) -> u32 {
-        let members = self.coordinated.values().filter(|coordinated| coordinated.group == group);
-        members.map(|coordinated| coordinated.free(now, lease_state)).sum()
+        let members = self.targets.values().filter(|state| state.group == group);
+        members.map(|state| state.free(now, lease_state)).sum()
     }
 
     /// Returns the number of free slots of the group minus the number of requests queued for them.
     #[must_use]
     pub fn spare_slots(&self, now: Timestamp, group: GroupId, lease_state: LeaseState) -> u32 {
-        let waiting = self.queues.get(&group).map_or(0, Queue::len);
-        self.free_slots(now, group, lease_state).saturating_sub(u32::try_from(waiting).unwrap_or(u32::MAX))
+        let queued = self.queues.get(&group).map_or(0, Queue::len);
+        self.free_slots(now, group, lease_state).saturating_sub(u32::try_from(queued).unwrap_or(u32::MAX))
     }
 
     /// Removes a request from its queue.
@@ -439,27 +435,27 @@
     }
 
     /// Frees the slot of a request that has ended, and updates the target's state with the outcome.
-    pub fn attempt_ended(&mut self, now: Timestamp, request: RequestId, evidence: AttemptOutcome) {
+    pub fn attempt_ended(&mut self, now: Timestamp, request: RequestId, outcome: AttemptOutcome) {
         let Some(id) = self.running.remove(&request) else { return };
         if let Some(running) = self.released.get_mut(&id) {
             *running = running.saturating_sub(1);
             self.unreported_releases.insert(id);
             return;
         }
-        let Some(coordinated) = self.coordinated.get_mut(&id) else { return };
-        coordinated.running = coordinated.running.saturating_sub(1);
-        match evidence {
+        let Some(state) = self.targets.get_mut(&id) else { return };
+        state.running = state.running.saturating_sub(1);
+        match outcome {
             AttemptOutcome::Success => {
-                coordinated.failures = 0;
-                coordinated.down = false;
-                coordinated.last_success_at = Some(now);
-                coordinated.slow_start.record_success(coordinated.success_multiplier());
+                state.failures = 0;
+                state.down = false;
+                state.last_success_at = Some(now);
+                state.slow_start.record_success(state.success_multiplier());
             }
-            AttemptOutcome::Shed => coordinated.slow_start.restart(),
+            AttemptOutcome::Shed => state.slow_start.restart(),
             AttemptOutcome::Failed => {
-                coordinated.slow_start.restart();
-                coordinated.failures += 1;
-                coordinated.down = coordinated.failures >= FAILURES_TO_DOWN;
+                state.slow_start.restart();
+                state.failures += 1;
+                state.down = state.failures >= FAILURES_TO_DOWN;
             }
             AttemptOutcome::Cancelled => {}
         }
@@ -467,9 +463,9 @@
 
     /// Returns the targets whose health check is due, and schedules their next one.
     pub fn due_health_checks(&mut self, now: Timestamp, rng: &mut SmallRng) -> Vec<TargetId> {
-        let due = self.coordinated.iter_mut().filter(|(_, coordinated)| now >= coordinated.next_health_check_at);
-        let schedule = |(id, coordinated): (&TargetId, &mut CoordinatedTarget)| {
-            coordinated.next_health_check_at = now + HEALTH_CHECK_PERIOD.mul_f64(rng.random_range(0.9..1.1));
+        let due = self.targets.iter_mut().filter(|(_, state)| now >= state.next_health_check_at);
+        let schedule = |(id, state): (&TargetId, &mut CoordinatedTarget)| {
+            state.next_health_check_at = now + HEALTH_CHECK_PERIOD.mul_f64(rng.random_range(0.9..1.1));
             *id
         };
         due.map(schedule).collect()
@@ -480,23 +476,23 @@
     /// A report can lag or be wrong. It can therefore lower the target's limit at once, but only successful requests
     /// raise it, and a failed check is ignored if a request has just succeeded.
     pub fn record_health_check(&mut self, now: Timestamp, target: TargetId, report: Option<HealthReport>) {
-        let Some(coordinated) = self.coordinated.get_mut(&target) else { return };
-        let answered = coordinated.last_success_at.is_some_and(|at| now.saturating_sub(at) < RECENT_SUCCESS_WINDOW);
+        let Some(state) = self.targets.get_mut(&target) else { return };
+        let recently_succeeded = state.last_success_at.is_some_and(|at| now.saturating_sub(at) < RECENT_SUCCESS_WINDOW);
         let Some(report) = report else {
-            if !answered {
-                coordinated.failures += 1;
-                coordinated.down = coordinated.failures >= FAILURES_TO_DOWN;
+            if !recently_succeeded {
+                state.failures += 1;
+                state.down = state.failures >= FAILURES_TO_DOWN;
             }
             return;
         };
-        if coordinated.down {
-            coordinated.down = false;
-            coordinated.slow_start.restart();
+        if state.down {
+            state.down = false;
+            state.slow_start.restart();
         }
-        coordinated.failures = 0;
-        let before = coordinated.reported.replace(report);
-        if report == HealthReport::Cold && before != Some(HealthReport::Cold) {
-            coordinated.slow_start.restart();
+        state.failures = 0;
+        let previous_report = state.last_report.replace(report);
+        if report == HealthReport::Cold && previous_report != Some(HealthReport::Cold) {
+            state.slow_start.restart();
         }
     }
 
@@ -505,8 +501,8 @@
     /// The dump shows it beside this instance's own count. No decision uses it, because it lags while the count here
     /// is exact. A lasting difference means that requests reach the target by another path.
     pub fn record_reported_load(&mut self, target: TargetId, load: Option<u32>) {
-        if let Some(coordinated) = self.coordinated.get_mut(&target) {
-            coordinated.reported_load = load;
+        if let Some(state) = self.targets.get_mut(&target) {
+            state.reported_load = load;
         }
     }
 
@@ -514,14 +510,14 @@
     /// `only_changed`, the result also contains every target that is not warm, and nothing is marked as published.
     pub fn status_updates(&mut self, only_changed: bool) -> Vec<TargetStatusUpdate> {
         let mut news = Vec::new();
-        for (id, coordinated) in &mut self.coordinated {
-            let status = coordinated.status();
-            let changed = coordinated.last_published != Some(status);
+        for (id, state) in &mut self.targets {
+            let status = state.status();
+            let changed = state.last_published != Some(status);
             if changed || (!only_changed && status != TargetStatus::Warm) {
                 news.push(TargetStatusUpdate { target: *id, status });
             }
             if only_changed {
-                coordinated.last_published = Some(status);
+                state.last_published = Some(status);
             }
         }
         news
--- a/crates/core/src/streams.rs
+++ b/crates/core/src/streams.rs
@@ -112,8 +112,8 @@
         let hash = key.hash64();
         let domain = catalog.domain_of(hash, service)?;
         let instances = u32::try_from(view.serving().len()).unwrap_or(1).max(1);
-        let members = catalog.group(service.group).by_domain[domain].iter();
-        let targets = members.filter_map(|id| catalog.target(*id));
+        let target_ids = catalog.group(service.group).by_domain[domain].iter();
+        let targets = target_ids.filter_map(|id| catalog.target(*id));
         let usable = targets.filter(|target| {
             let share = (target.connections / instances).max(1);
             let full = self.by_target.get(&target.id).is_some_and(|open| *open >= share);
