--- a/crates/core/src/streams.rs
+++ b/crates/core/src/streams.rs
@@ -1,7 +1,8 @@
-//! TCP streams, which end at the instance that accepted them.
+//! TCP streams, which the instance that accepted them relays.
 //!
-//! A stream is two connections, and both are this instance's own, so no other instance can take it over. A planned
-//! stop waits for streams to end; a failure domain that is taken out closes those that lead into it.
+//! A stream consists of two connections, from the caller and to the target. Both terminate at this instance, so no
+//! other instance can take the stream over. A planned stop waits for streams to end. When a failure domain is taken out
+//! of service, the streams to its targets are closed.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -23,6 +24,7 @@
     key: FlowKey,
     target: TargetId,
     failure_domain: String,
+    /// Targets that refused the connection of this stream.
     refused: Vec<TargetId>,
 }
 
@@ -33,23 +35,23 @@
     by_target: BTreeMap<TargetId, u32>,
 }
 
-/// Targets tried for one stream at most.
-const MAX_TRIES: usize = 3;
+/// Maximum number of targets tried for one stream.
+const MAX_ATTEMPTS: usize = 3;
 
 impl Streams {
-    /// Returns how many streams are open.
+    /// Returns the number of open streams.
     #[must_use]
     pub fn len(&self) -> usize {
         self.streams.len()
     }
 
-    /// Tells whether no stream is open.
+    /// Returns whether no stream is open.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.streams.is_empty()
     }
 
-    /// Chooses the target of a new stream.
+    /// Opens a stream; returns the address of its target, or `None` if no target can take it.
     pub fn open(
         &mut self,
         now: Timestamp,
@@ -58,10 +60,13 @@
         view: &View,
         health: &TargetStatusCache,
     ) -> Option<SocketAddr> {
-        self.place(now, id, key, Vec::new(), view, health)
+        self.open_at_target(now, id, key, Vec::new(), view, health)
     }
 
-    /// Chooses another target after the one chosen refused the connection, of which nothing was sent yet.
+    /// Handles a connection that the stream's target refused, before anything was sent to the target.
+    ///
+    /// Returns the address of another target. Returns `None` and removes the stream if no target can take it, or after
+    /// three attempts.
     pub fn refused(
         &mut self,
         now: Timestamp,
@@ -72,13 +77,13 @@
         let stream = self.close(id)?;
         let mut refused = stream.refused;
         refused.push(stream.target);
-        if refused.len() >= MAX_TRIES {
+        if refused.len() >= MAX_ATTEMPTS {
             return None;
         }
-        self.place(now, id, stream.key, refused, view, health)
+        self.open_at_target(now, id, stream.key, refused, view, health)
     }
 
-    fn place(
+    fn open_at_target(
         &mut self,
         now: Timestamp,
         id: StreamId,
@@ -87,14 +92,14 @@
         view: &View,
         health: &TargetStatusCache,
     ) -> Option<SocketAddr> {
-        let target = self.choose(now, key, &refused, view, health)?;
+        let target = self.choose_target(now, key, &refused, view, health)?;
         let failure_domain = view.catalog().domains()[target.domain].name.clone();
         *self.by_target.entry(target.id).or_default() += 1;
         self.streams.insert(id, Stream { key, target: target.id, failure_domain, refused });
         Some(target.address)
     }
 
-    fn choose<'a>(
+    fn choose_target<'a>(
         &self,
         now: Timestamp,
         key: FlowKey,
@@ -107,19 +112,19 @@
         let hash = key.hash64();
         let domain = catalog.domain_of(hash, service)?;
         let instances = u32::try_from(view.serving().len()).unwrap_or(1).max(1);
-        let members = catalog.group(service.group).by_domain[domain].iter();
-        let targets = members.filter_map(|id| catalog.target(*id));
+        let target_ids = catalog.group(service.group).by_domain[domain].iter();
+        let targets = target_ids.filter_map(|id| catalog.target(*id));
         let usable = targets.filter(|target| {
             let share = (target.connections / instances).max(1);
             let full = self.by_target.get(&target.id).is_some_and(|open| *open >= share);
             let status = health.status(now, target.id);
-            let unfit = matches!(status, Some(TargetStatus::Down | TargetStatus::Leaving));
-            !target.leaving && !full && !unfit && !refused.contains(&target.id)
+            let unavailable = matches!(status, Some(TargetStatus::Down | TargetStatus::Leaving));
+            !target.leaving && !full && !unavailable && !refused.contains(&target.id)
         });
         rendezvous::pick(hash, usable, |target| target.id)
     }
 
-    /// Forgets a stream that has ended.
+    /// Removes a stream that has ended.
     pub fn closed(&mut self, id: StreamId) {
         let _ = self.close(id);
     }
@@ -132,7 +137,7 @@
         Some(stream)
     }
 
-    /// Returns the streams that lead into a failure domain which may carry no traffic.
+    /// Returns the streams to targets in failure domains that are out of service.
     #[must_use]
     pub fn leading_out_of_service(&self, catalog: &Catalog) -> Vec<StreamId> {
         let out = self.streams.iter().filter(|(_, stream)| !catalog.domain_in_service(&stream.failure_domain));
