--- a/crates/core/src/direct/bootstrap.rs
+++ b/crates/core/src/direct/bootstrap.rs
@@ -1,9 +1,10 @@
-//! How an instance that has just started learns what it needs: from a peer, or from the store.
+//! Bootstrap of an instance: it fetches its initial state from a peer or from the store.
 //!
-//! The load that this answers: all instances of a large fleet lose power and come back at once. Read by 296 of them
-//! together, 3,000 entries fill the store's link for two seconds; pulled by them from the one instance that has announced
-//! itself, they fill its link for longer. So few read the store, in turns by rank, and those on slow links after those on
-//! fast ones; the others ask whoever is known to have everything, and each of these hands it to a few at a time.
+//! The schedule limits the load when all instances of a large fleet restart at once after a power loss. If 296
+//! instances read 3,000 entries from the store together, they saturate the store's link for two seconds. If they all
+//! pull from the first instance that announces itself, they saturate that instance's link for longer. Therefore few
+//! instances read the store, in turns by rank, and those on slow links after those on fast links. The others ask
+//! peers that are known to be up to date, and each of those transfers its state to a few peers at a time.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,100 +15,108 @@
 use crate::Timestamp;
 use crate::direct::watch::WatcherRole;
 
-/// Time after which an instance that no peer has told everything reads the store itself. A peer's answer takes 2 ms
-/// to 10 ms; after a power loss nobody has one, and every millisecond more is one in which nothing is served.
-const READ_AFTER: Duration = Duration::from_millis(15);
-/// The same when the whole fleet starts for the first time, seconds before its callers. By then its instances know each other,
-/// so that one of them reads the store and the others are told.
-const READ_AFTER_FIRST_START: Duration = Duration::from_secs(1);
-/// Time between two questions to peers.
+/// Time after which an instance that has received no state transfer reads the store itself. A peer's answer takes 2
+/// ms to 10 ms. After a power loss no peer has the state, and nothing is served while the instance waits.
+const READ_DELAY: Duration = Duration::from_millis(15);
+/// [`READ_DELAY`] for the first start of the whole fleet, which precedes its callers by seconds. By then its
+/// instances know each other, so that one of them reads the store and the others receive the state from it.
+const FIRST_START_READ_DELAY: Duration = Duration::from_secs(1);
+/// Interval between two requests to peers.
 const ASK_PERIOD: Duration = Duration::from_millis(60);
-/// Time after the store may be read from which on peers are asked that have not said that they know anything.
-const ASK_ANYBODY_AFTER: Duration = Duration::from_millis(300);
-/// Time between two looks for a peer while none is known.
-const LOOK_PERIOD: Duration = Duration::from_millis(10);
-/// Time after which another peer is asked when one is busy with others, which it says at once; drawn up to twice this, so that
-/// those who were refused together do not come back together.
-const ASK_AFTER_REFUSAL: Duration = Duration::from_millis(8);
-/// Time after which such an instance reads the store although another one watches it: its pulls have failed.
-const ASK_NO_LONGER: Duration = Duration::from_secs(2);
-/// Instances that read the store at the same time, of those that know of each other.
-const READERS: u32 = 4;
-/// Time between the turns of two such groups. 3,000 entries take 50 ms over a link of 200 Mbit/s and 1 s over one of 10;
-/// until the first have them, one more group in each turn keeps the store's link below a tenth of what it carries.
-const TURN: Duration = Duration::from_millis(250);
-/// Longest time that an instance leaves to others: by then they should have told it, or cannot.
-const LAST_TURN: Duration = Duration::from_secs(2);
-/// Bandwidth in Mbit/s below which a link is slow: the fast instances of a mixed fleet have 200 and more.
-const SLOW_LINK: f64 = 50.0;
-/// Time that an instance on a slow link leaves to those on faster ones.
-const SLOW_LINK_WAIT: Duration = Duration::from_millis(120);
+/// Time after the read delay from which any peer is asked, even one that has not announced that it is up to date.
+const ASK_ANY_PEER_DELAY: Duration = Duration::from_millis(300);
+/// Interval between two attempts to select a peer while there is none to ask.
+const PEER_POLL_PERIOD: Duration = Duration::from_millis(10);
+/// Minimum delay before the next request after a peer has refused one because it is busy, which it reports at once.
+/// The delay is randomized up to twice this value, so that instances that were refused together do not retry
+/// together.
+const REFUSAL_RETRY_DELAY: Duration = Duration::from_millis(8);
+/// Additional time after which an instance reads the store although another one watches it, since its requests to
+/// peers have failed.
+const READ_FALLBACK_DELAY: Duration = Duration::from_secs(2);
+/// Number of instances, of those that know each other, that read the store in the same turn.
+const MAX_CONCURRENT_READERS: u32 = 4;
+/// Interval between two turns. 3,000 entries take 50 ms over a link of 200 Mbit/s and 1 s over a link of 10 Mbit/s.
+/// Until the first instances have them, one more group of readers in each turn keeps the store's link below a tenth
+/// of its capacity.
+const TURN_PERIOD: Duration = Duration::from_millis(250);
+/// Maximum delay of an instance's turn. By then the earlier readers should have transferred the state to it, or are
+/// unable to.
+const MAX_TURN_DELAY: Duration = Duration::from_secs(2);
+/// Bandwidth in Mbit/s below which a link is slow. The fast instances of a mixed fleet have 200 Mbit/s or more.
+const SLOW_LINK_MBPS: f64 = 50.0;
+/// Additional delay of an instance on a slow link, in favor of those on faster links.
+const SLOW_LINK_DELAY: Duration = Duration::from_millis(120);
 
-/// An instance's attempts to learn everything.
+/// Schedule of an instance's requests to peers and reads of the store until it has the complete state.
 #[derive(Clone, Copy, Debug)]
 pub struct Bootstrap {
     read_after: Timestamp,
-    /// Instances that read the store at the same time.
-    readers: u32,
-    ask_anybody_after: Timestamp,
+    /// Number of instances that read the store in the same turn.
+    concurrent_readers: u32,
+    ask_any_peer_after: Timestamp,
     slow_link: bool,
     next_ask: Timestamp,
 }
 
 impl Bootstrap {
-    /// Begins at time zero; `draw` between zero and one spreads those that start together.
+    /// Starts the schedule at time zero. `link_mbps` is the bandwidth of this instance's link in Mbit/s; `jitter`,
+    /// between zero and one, spreads instances that start together.
     #[must_use]
-    pub fn new(first_start: bool, link_mbps: f64, draw: f64) -> Self {
-        let (read_after, readers) = if first_start { (READ_AFTER_FIRST_START, 1) } else { (READ_AFTER, READERS) };
+    pub fn new(first_start: bool, link_mbps: f64, jitter: f64) -> Self {
+        let (read_after, concurrent_readers) =
+            if first_start { (FIRST_START_READ_DELAY, 1) } else { (READ_DELAY, MAX_CONCURRENT_READERS) };
         Self {
-            read_after: read_after + READ_AFTER.mul_f64(draw),
-            readers,
-            ask_anybody_after: read_after + ASK_ANYBODY_AFTER,
-            slow_link: link_mbps < SLOW_LINK,
+            read_after: read_after + READ_DELAY.mul_f64(jitter),
+            concurrent_readers,
+            ask_any_peer_after: read_after + ASK_ANY_PEER_DELAY,
+            slow_link: link_mbps < SLOW_LINK_MBPS,
             next_ask: Timestamp::ZERO,
         }
     }
 
-    /// Returns when the next peer is to be asked, or the store may have to be read by an instance that goes first.
+    /// Returns the time at which the next peer is to be asked, or, with `may_read`, the store may have to be read,
+    /// whichever is earlier. The read time is that of an instance in the first turn.
     #[must_use]
     pub fn next_due(&self, may_read: bool) -> Timestamp {
         if may_read { self.next_ask.min(self.read_after) } else { self.next_ask }
     }
 
-    /// Notes that somebody is known to have everything: there is no need to wait for the next question.
+    /// Makes the next request due now, since an up-to-date peer has become known.
     pub fn ask_now(&mut self, now: Timestamp) {
         self.next_ask = self.next_ask.min(now);
     }
 
-    /// Notes that a peer is busy handing over to others; `draw` lies between zero and one.
-    pub fn handle_refusal(&mut self, now: Timestamp, draw: f64) {
-        self.next_ask = now + ASK_AFTER_REFUSAL.mul_f64(1.0 + draw);
+    /// Handles the refusal of a peer that is busy with other state transfers; `jitter` lies between zero and one.
+    pub fn handle_refusal(&mut self, now: Timestamp, jitter: f64) {
+        self.next_ask = now + REFUSAL_RETRY_DELAY.mul_f64(1.0 + jitter);
     }
 
-    /// Returns whom to ask now: one of those known to have everything, or else any.
+    /// Returns the peer to ask now, if a request is due: a random one of `up_to_date`, or else, once any peer may
+    /// be asked, a random one of `others`.
     pub fn ask(
         &mut self,
         now: Timestamp,
-        informed: &[SocketAddr],
+        up_to_date: &[SocketAddr],
         others: &[SocketAddr],
         rng: &mut impl Rng,
     ) -> Option<SocketAddr> {
         if now < self.next_ask {
             return None;
         }
-        let anybody = if now < self.ask_anybody_after { &[] } else { others };
-        let peer = informed.choose(rng).or_else(|| anybody.choose(rng)).copied();
-        self.next_ask = now + if peer.is_some() { ASK_PERIOD } else { LOOK_PERIOD };
+        let fallback_peers = if now < self.ask_any_peer_after { &[] } else { others };
+        let peer = up_to_date.choose(rng).or_else(|| fallback_peers.choose(rng)).copied();
+        self.next_ask = now + if peer.is_some() { ASK_PERIOD } else { PEER_POLL_PERIOD };
         peer
     }
 
-    /// Tells whether to read the store now; `rank` counts the known instances that go before this one.
-    pub fn should_read_store(&mut self, now: Timestamp, rank: u32, duty: &WatcherRole) -> bool {
-        let turn = (TURN * (rank / self.readers)).min(LAST_TURN);
-        let slow_link_wait = if rank > 0 && self.slow_link { SLOW_LINK_WAIT } else { Duration::ZERO };
-        let due = self.read_after + turn + slow_link_wait;
-        let overdue = now >= due + ASK_NO_LONGER && !duty.is_watching();
-        let reads = overdue || (now >= due && duty.should_read());
+    /// Returns whether to read the store now. `rank` is the number of known instances that read before this one.
+    pub fn should_read_store(&mut self, now: Timestamp, rank: u32, role: &WatcherRole) -> bool {
+        let turn = (TURN_PERIOD * (rank / self.concurrent_readers)).min(MAX_TURN_DELAY);
+        let slow_link_delay = if rank > 0 && self.slow_link { SLOW_LINK_DELAY } else { Duration::ZERO };
+        let due = self.read_after + turn + slow_link_delay;
+        let overdue = now >= due + READ_FALLBACK_DELAY && !role.is_watching();
+        let reads = overdue || (now >= due && role.should_read());
         if reads {
             self.read_after = now;
         }
--- a/crates/core/src/direct/decision.rs
+++ b/crates/core/src/direct/decision.rs
@@ -1,4 +1,4 @@
-//! Decisions as they are logged and counted.
+//! Records of the dispatcher's decisions, for the log and the metrics.
 
 use std::time::Duration;
 
@@ -10,97 +10,98 @@
 use crate::direct::segment::FlowId;
 use hawthornshift_model::TargetId;
 
-/// What was decided about a packet or its flow.
+/// Outcome of a decision about a packet or its flow.
 #[derive(Clone, Copy, Debug, EnumCount, EnumIter, Eq, Hash, IntoStaticStr, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
 pub enum Outcome {
-    /// A new flow was given to a target.
+    /// A new flow was placed on a target.
     Placed,
-    /// A flow whose target did not finish the handshake was given to another one.
+    /// A flow whose target did not complete the handshake was placed on another target.
     PlacedAgain,
-    /// A new flow was given to a cold target, since no warm one was left.
+    /// A new flow was placed on a cold target, since no warm target was available.
     PlacedCold,
-    /// A new flow waits for a slot.
+    /// A new flow was queued until a slot is free.
     Waiting,
-    /// A flow was reset since no route leads from its address; it was sent nowhere.
+    /// A flow was reset since its address has no route; the packet was sent to no target.
     ResetNoRoute,
-    /// A new flow was reset since no target may get it; it was sent nowhere.
+    /// A new flow was reset since no target is eligible; it was sent to no target.
     ResetNoTarget,
-    /// A new flow was reset since every target is full; it was sent nowhere.
+    /// A new flow was reset since every target is full; it was sent to no target.
     ResetFull,
-    /// An open flow was reset since its target is out of reach or gone: its caller may open another at once.
+    /// An open flow was reset since its target is out of reach or gone. Its caller may open a new flow at once.
     ResetUnreachable,
-    /// A packet was dropped since this instance does not know the configuration and the targets yet.
+    /// A packet was dropped since this instance does not have the configuration and the targets yet.
     DroppedNotReady,
-    /// A packet was dropped since no target is known by its cookie.
+    /// A packet was dropped since no target has its cookie.
     DroppedUnknownCookie,
-    /// A flow that waited was dropped without a word, since another instance may have served its caller meanwhile.
+    /// A pending flow was dropped without a reset, since another instance may have placed it meanwhile.
     DroppedWaiting,
-    /// A copy of a SYN was dropped since its target has turned cold meanwhile and bears no more flows just now.
+    /// A retransmitted SYN was dropped since its target has become cold and its slow-start budget is used up.
     DroppedCold,
-    /// A packet was dropped since its target's failure domain is taken out.
+    /// A packet was dropped since its target's failure domain is evacuated.
     DroppedEvacuated,
-    /// A request took longer than its latency objective.
+    /// A request was answered after its latency objective.
     AnsweredLate,
-    /// An answer was so much shorter and sooner there than its route's usual ones that it is taken for a failure.
+    /// An answer was so much shorter and faster than usual on its route that it is classified as a failure.
     AnsweredFailure,
-    /// A target was set aside since it has not answered this flow's request, though others have answered later ones.
+    /// A target was ejected since it has not answered this flow's request, whereas later requests have been answered.
     AnswerOverdue,
-    /// A request was answered whose target had been set aside for it: the target is used as before.
+    /// A request was answered after its answer had been found overdue: its target is used as before.
     AnsweredOverdue,
-    /// A flow ended with its handshake finished and without an answer having been seen here.
+    /// A flow ended after its handshake, without an answer observed by this instance.
     EndedUnanswered,
-    /// A flow ended whose handshake was not finished here: its caller was served elsewhere, or tried again.
+    /// A flow ended without a completed handshake at this instance: its caller was served through another one, or
+    /// retried.
     HandshakeUnfinished,
 }
 
 impl Outcome {
-    /// Returns the position of the outcome's counter.
+    /// Returns the index of the outcome's counter.
     #[must_use]
     pub fn index(self) -> usize {
         self as usize
     }
 }
 
-/// One decision with what it rests on.
+/// A decision with its inputs.
 #[derive(Clone, Debug, Serialize)]
 pub struct Decision {
     /// The flow.
     pub flow: FlowId,
-    /// What was decided.
+    /// The outcome.
     pub outcome: Outcome,
-    /// The target, if one takes part.
+    /// The target, if the decision involves one.
     pub target: Option<TargetId>,
-    /// Copies of the SYN that came before.
+    /// Copies of the SYN that the caller had sent before.
     pub copies: u32,
-    /// Requests that the target was believed to hold before.
+    /// Open requests counted for the target before this decision.
     pub work: u32,
-    /// How long the flow had waited here, or how long its request took.
+    /// Time that the flow had waited at this instance, or that its request had taken.
     pub took: Duration,
-    /// Targets tried before.
+    /// Number of targets that the SYN was sent to before.
     pub tried: usize,
 }
 
 impl Decision {
-    /// Makes a decision without a target.
+    /// Returns a decision without a target, with all measures zero.
     #[must_use]
     pub fn new(flow: FlowId, outcome: Outcome) -> Self {
         Self { flow, outcome, target: None, copies: 0, work: 0, took: Duration::ZERO, tried: 0 }
     }
 }
 
-/// Counts of all decisions of a process.
+/// Number of decisions of this process, by outcome.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize)]
 pub struct OutcomeCounts([u64; Outcome::COUNT]);
 
 impl OutcomeCounts {
-    /// Counts one more.
+    /// Counts one decision.
     pub fn add(&mut self, outcome: Outcome) {
         self.0[outcome.index()] += 1;
     }
 
-    /// Returns how often an outcome came.
+    /// Returns the number of decisions with an outcome.
     #[must_use]
     pub fn get(&self, outcome: Outcome) -> u64 {
         self.0[outcome.index()]
--- a/crates/core/src/direct/handshake_timeout.rs
+++ b/crates/core/src/direct/handshake_timeout.rs
@@ -1,24 +1,25 @@
-//! How long a handshake may take before the SYN is sent to another target.
+//! Timeout of a handshake, after which the SYN is sent to another target.
 //!
-//! The estimate follows the retransmission timer of TCP (RFC 6298): a smoothed round trip and four times its mean
-//! deviation. Callers repeat a SYN only after 200 ms, which is later than most requests may be answered.
+//! The timeout is computed like TCP's retransmission timeout (RFC 6298): the smoothed round-trip time plus four times
+//! its mean deviation. Callers retransmit a SYN only after 200 ms, which exceeds the latency objective of most
+//! requests.
 
 use std::time::Duration;
 
 use crate::direct::smoothed_time::SmoothedTime;
 use crate::direct::smoothed_time::Weights;
 
-/// Shortest timeout. A handshake takes 7 ms at 3 ms between callers and instances; a process that waits for its share
-/// of the processor stalls by tens of milliseconds, and a SYN sent twice without need costs a connection.
-const SHORTEST: Duration = Duration::from_millis(40);
-/// Longest timeout: shortly before the caller's own copy.
-const LONGEST: Duration = Duration::from_millis(180);
-/// Weights of a new sample (RFC 6298).
+/// Minimum timeout. A handshake takes 7 ms when callers are 3 ms away from instances. A process that waits to be
+/// scheduled is delayed by tens of milliseconds, and a SYN that is sent twice without need costs a connection.
+const MIN_TIMEOUT: Duration = Duration::from_millis(40);
+/// Maximum timeout: shortly before the caller's own retransmission.
+const MAX_TIMEOUT: Duration = Duration::from_millis(180);
+/// Weights of a new sample: alpha and beta of RFC 6298.
 const WEIGHTS: Weights = Weights { time: 0.125, deviation: 0.25 };
-/// Deviations added to the round trip (RFC 6298).
-const DEVIATIONS: f64 = 4.0;
+/// Factor of the deviation that is added to the round-trip time: K of RFC 6298.
+const DEVIATION_FACTOR: f64 = 4.0;
 
-/// Estimate of the time from a SYN to the packet that finishes its handshake.
+/// Estimator of the time from a SYN to the packet that completes its handshake.
 #[derive(Clone, Copy, Debug)]
 pub struct HandshakeTimeout {
     round_trip: SmoothedTime,
@@ -31,14 +32,14 @@
 }
 
 impl HandshakeTimeout {
-    /// Takes in a measured handshake.
+    /// Adds the measured duration of a handshake.
     pub fn sample(&mut self, took: Duration) {
         self.round_trip.sample(took);
     }
 
-    /// Returns how long to wait for a handshake.
+    /// Returns the current timeout: the minimum before the first sample, and the clamped estimate afterwards.
     #[must_use]
     pub fn limit(&self) -> Duration {
-        self.round_trip.bound(DEVIATIONS).map_or(SHORTEST, |limit| limit.clamp(SHORTEST, LONGEST))
+        self.round_trip.bound(DEVIATION_FACTOR).map_or(MIN_TIMEOUT, |limit| limit.clamp(MIN_TIMEOUT, MAX_TIMEOUT))
     }
 }
--- a/crates/core/src/direct/segment.rs
+++ b/crates/core/src/direct/segment.rs
@@ -1,4 +1,4 @@
-//! What the head of a packet says, in the product's own words.
+//! Packet headers as the dispatcher uses them, independent of the wire format.
 
 use std::net::SocketAddrV4;
 
@@ -6,30 +6,31 @@
 use serde::Serialize;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The value that an instance writes on a SYN and that both ends of the flow repeat; zero stands for none.
+/// Value that an instance writes into a SYN and that both endpoints repeat in every later packet of the flow. It
+/// identifies the target; zero means none.
 pub type Cookie = u32;
 
-/// Short name of a flow in messages between instances.
+/// 32-bit hash that identifies a flow in messages between instances.
 ///
-/// Two open flows with one hash make one of them uncounted for its short life; at 5,000 open flows in a group the
-/// chance of any such pair is below 0.3%.
+/// If two open flows have the same hash, one of them is not counted while it is open. With 5,000 open flows in a
+/// group the probability of any such pair is below 0.3%.
 pub type FlowHash = u32;
 
-/// Bytes of two addresses with their ports.
+/// Size in bytes of two IPv4 addresses with their ports.
 const FLOW_BYTES: usize = 12;
 
-/// The two ends of a flow.
+/// The two endpoints of a flow.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct FlowId {
-    /// The caller's end.
+    /// Address and port of the caller.
     pub caller: SocketAddrV4,
-    /// The address and port of the route that the caller asks for.
+    /// Virtual address and port of the route that the caller connects to.
     pub service: SocketAddrV4,
 }
 
 impl FlowId {
-    /// Returns the flow's 64-bit hash, equal on all instances.
+    /// Returns the flow's 64-bit hash, which is equal on all instances.
     #[must_use]
     pub fn hash64(&self) -> u64 {
         let mut buf = [0_u8; FLOW_BYTES];
@@ -40,41 +41,41 @@
         xxh3_64(&buf)
     }
 
-    /// Returns the flow's short name.
+    /// Returns the upper 32 bits of [`FlowId::hash64`].
     #[must_use]
     pub fn flow_hash(&self) -> FlowHash {
         u32::try_from(self.hash64() >> 32).unwrap_or(FlowHash::MAX)
     }
 }
 
-/// What a packet does to its flow.
+/// Kind of a packet, in the terms of TCP.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum SegmentKind {
-    /// A SYN, with the number of copies sent before it.
+    /// A SYN.
     Syn {
-        /// Zero for the first; callers repeat a SYN that is not answered.
+        /// Copies of the SYN that the caller sent before this one. Callers retransmit a SYN that is not answered.
         retransmissions: u32,
     },
     /// Data or an acknowledgement.
     Ack,
-    /// The caller's last bytes.
+    /// The end of the caller's data.
     Fin,
-    /// The caller gives the flow up.
+    /// The caller aborts the flow.
     Rst,
 }
 
-/// A packet's head.
+/// Header of a packet.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Segment {
     /// The flow.
     pub flow: FlowId,
-    /// What the packet does to it.
+    /// Kind of the packet.
     pub kind: SegmentKind,
-    /// Number of the first byte of data.
+    /// Sequence number of the first byte of data.
     pub sequence: u32,
-    /// Number of the byte that the caller expects next.
+    /// Acknowledgement number: the sequence number of the byte that the caller expects next.
     pub acknowledged: u32,
-    /// Bytes of data.
+    /// Length of the data, in bytes.
     pub payload_bytes: u16,
     /// The cookie that the packet carries.
     pub cookie: Cookie,
