--- a/crates/core/src/direct/dispatcher/mod.rs
+++ b/crates/core/src/direct/dispatcher/mod.rs
@@ -1,12 +1,12 @@
-//! What happens to each packet of a caller.
+//! Sans-I/O state machine that decides what happens to each packet of a caller.
 //!
-//! [`Dispatcher::handle_packet`] takes a packet's head and the present time and appends what to do; [`Dispatcher::tick`] does what
-//! is due without a packet. Nothing here opens a socket or reads a clock.
+//! [`Dispatcher::handle_packet`] takes a packet's header and the current time and appends [`Effect`]s for the caller
+//! of the function to execute. [`Dispatcher::tick`] runs the timers. The module opens no socket and reads no clock.
 
-mod following;
-mod opening;
+mod established;
 mod reporting;
 mod resetting;
+mod syn;
 mod timers;
 
 use std::net::SocketAddrV4;
@@ -49,78 +49,81 @@
 use hawthornshift_model::Revision;
 use hawthornshift_model::TargetId;
 
-/// Most SYNs kept while the directory is not whole: what an instance gets in the tenth of a second that a start takes.
-const MAX_EARLY: usize = 64;
-/// Time after a pause in which new flows wait for word that the news here is not old: an announcement comes every
-/// 300 ms, and without any there is nobody who could know better.
-const UNSURE: Duration = Duration::from_millis(400);
-/// Time after a change of the instances nearby, or a pause of this process, in which what callers send may not be seen here:
-/// the fabric asks an instance twice a second whether it is ready, and takes it out after two misses.
-const UNSEEN: Duration = Duration::from_millis(1_500);
-/// Age at which a kept SYN is dropped: its caller sends a copy soon.
-const EARLY_AGE: Duration = Duration::from_millis(180);
-/// Range and precision of the latency histograms, in milliseconds: one digit up to a minute takes 2 KB.
-const HISTOGRAM_MAX: u64 = 60_000;
-const HISTOGRAM_DIGITS: u8 = 1;
-
-/// Which packet an effect sends.
+/// Maximum number of SYNs buffered until new flows may be placed: what an instance receives in the 100 ms that a
+/// start takes.
+const MAX_EARLY_SYNS: usize = 64;
+/// Time after a pause of the process during which new flows are held until a peer or the store confirms that the
+/// state is up to date. Peers announce every 300 ms; if none does, no instance has newer state.
+const STALE_AFTER_PAUSE: Duration = Duration::from_millis(400);
+/// Time after a change of the group, or a pause of this process, during which packets of callers may bypass this
+/// instance. The fabric polls an instance's readiness twice a second and removes it after two failed polls.
+const MISSED_PACKETS_WINDOW: Duration = Duration::from_millis(1_500);
+/// Age at which a buffered SYN is dropped: its caller retransmits it soon (200 ms after the first).
+const MAX_EARLY_SYN_AGE: Duration = Duration::from_millis(180);
+/// Upper bound of the latency histograms, in milliseconds.
+const HISTOGRAM_MAX_MS: u64 = 60_000;
+/// Significant decimal digits of the latency histograms. One digit up to one minute takes 2 KB.
+const HISTOGRAM_SIGNIFICANT_DIGITS: u8 = 1;
+
+/// The packet that an [`Effect::Forward`] sends.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Packet {
-    /// The one that was just handed in.
+    /// The packet passed to the current call.
     Current,
-    /// One that was kept.
+    /// A copy of a packet that the dispatcher has stored.
     Buffered(Box<[u8]>),
 }
 
-/// Something to do.
+/// An action for the I/O layer to execute.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Effect {
-    /// Send a packet to a target.
+    /// Forward a packet to a target.
     Forward {
-        /// Which.
+        /// The packet.
         packet: Packet,
-        /// To where.
+        /// Address of the target.
         to: SocketAddrV4,
-        /// To whom.
+        /// The target.
         target: TargetId,
-        /// The cookie to write into it, if another than it carries.
+        /// The cookie to write into the packet, if it differs from the one that the packet carries.
         cookie: Option<Cookie>,
     },
-    /// Ask a target for a connection, and hand the outcome to [`Dispatcher::check_finished`].
+    /// Try to connect to a target, and pass the outcome to [`Dispatcher::check_finished`].
     Check {
-        /// Whom.
+        /// The target.
         target: TargetId,
-        /// Where.
+        /// Address of the target.
         to: SocketAddrV4,
     },
-    /// Answer a caller's packet with a reset.
+    /// Send a reset (RST) to the caller in reply to this segment.
     Reset(Segment),
 }
 
-/// A SYN as it came.
+/// A received SYN.
 #[derive(Clone, Copy, Debug)]
 struct Syn<'a> {
     segment: &'a Segment,
-    /// Copies that the caller had sent before.
+    /// Copies of the SYN that the caller had sent before this one.
     retransmissions: u32,
     packet: &'a [u8],
+    /// When the SYN arrived; earlier than now if it was buffered.
     since: Timestamp,
 }
 
-/// Settings of the decisions.
+/// Configuration of a [`Dispatcher`].
 #[derive(Clone, Debug)]
 pub struct DispatcherConfig {
-    /// Number of this instance.
+    /// Identifier of this instance.
     pub id: InstanceId,
-    /// Its failure domain.
+    /// Failure domain of this instance.
     pub domain: String,
-    /// Time after which nothing is sent any more to a failure domain that is taken out.
+    /// Time after the start of a failure domain's evacuation from which no packet is forwarded to its targets.
     pub evacuation_grace: Duration,
-    /// What is switched off for a trial.
+    /// Mechanisms that are enabled; a trial disables single ones.
     pub mechanisms: Mechanisms,
 }
 
-/// State of the decisions about packets.
+/// State machine of the packet path of one instance.
 #[derive(Clone, Debug)]
 pub struct Dispatcher {
     config: DispatcherConfig,
@@ -131,54 +134,55 @@
     checks: ReachabilityChecks,
     failures: Failures,
     answer_times: AnswerTimes,
-    refusal: UnreadyLimit,
+    unready_limit: UnreadyLimit,
     flows: FlowRecords,
-    waiting: PendingQueue,
+    pending: PendingQueue,
     handshake_timeout: HandshakeTimeout,
-    cold: SlowStart,
-    concurrency: ConcurrencyLimit,
-    limits: AdaptiveLimits,
-    rates: ServiceRates,
-    /// Until when what is known here may be old, since this process was paused.
-    unsure_until: Timestamp,
-    /// SYNs that came before the directory was whole, or while it may be old.
-    early: Vec<(Timestamp, Segment, Box<[u8]>)>,
+    slow_start: SlowStart,
+    concurrency_limit: ConcurrencyLimit,
+    adaptive_limits: AdaptiveLimits,
+    service_rates: ServiceRates,
+    /// End of the period in which the state may be stale because this process was paused.
+    stale_until: Timestamp,
+    /// SYNs buffered before the directory was synced, or while it may be stale.
+    early_syns: Vec<(Timestamp, Segment, Box<[u8]>)>,
     instances: Vec<InstanceId>,
     group: Vec<InstanceId>,
     all_domains_reported: bool,
-    /// Until when callers' packets may go unseen here; `None` before the first look at it.
-    unseen_until: Option<Timestamp>,
+    /// End of the period in which callers' packets may bypass this instance; `None` before the first review.
+    packets_missed_until: Option<Timestamp>,
     next_sweep: Timestamp,
-    next_refresh: Timestamp,
+    next_review: Timestamp,
     report: LoadReport,
     decisions: Vec<Decision>,
     counts: OutcomeCounts,
-    handshakes: Histogram<u32>,
-    answers: Histogram<u32>,
+    handshake_latencies: Histogram<u32>,
+    answer_latencies: Histogram<u32>,
 }
 
-/// Makes an empty latency histogram.
+/// Returns an empty latency histogram.
 fn histogram() -> Histogram<u32> {
-    Histogram::new_with_max(HISTOGRAM_MAX, HISTOGRAM_DIGITS)
+    Histogram::new_with_max(HISTOGRAM_MAX_MS, HISTOGRAM_SIGNIFICANT_DIGITS)
         .expect("the bounds are constants within the library's range")
 }
 
+/// Records a duration, rounded down to milliseconds and at least 1 ms.
 fn record(histogram: &mut Histogram<u32>, took: Duration) {
-    let millis = u64::try_from(took.as_millis()).unwrap_or(HISTOGRAM_MAX);
+    let millis = u64::try_from(took.as_millis()).unwrap_or(HISTOGRAM_MAX_MS);
     histogram.saturating_record(millis.max(1));
 }
 
-/// Makes an effect on the current packet one on a packet that was kept.
-fn keep(effect: &mut Effect, kept: &[u8]) {
+/// Makes an effect that forwards the current packet forward a buffered one instead.
+fn use_buffered(effect: &mut Effect, buffered: &[u8]) {
     if let Effect::Forward { packet, .. } = effect
         && *packet == Packet::Current
     {
-        *packet = Packet::Buffered(kept.into());
+        *packet = Packet::Buffered(buffered.into());
     }
 }
 
 impl Dispatcher {
-    /// Starts with nothing known.
+    /// Returns a dispatcher that knows no other instance and has an empty directory.
     #[must_use]
     pub fn new(config: DispatcherConfig) -> Self {
         Self {
@@ -192,97 +196,98 @@
             checks: ReachabilityChecks::default(),
             failures: Failures::default(),
             answer_times: AnswerTimes::default(),
-            refusal: UnreadyLimit::default(),
+            unready_limit: UnreadyLimit::default(),
             flows: FlowRecords::default(),
-            waiting: PendingQueue::default(),
+            pending: PendingQueue::default(),
             handshake_timeout: HandshakeTimeout::default(),
-            cold: SlowStart::default(),
-            concurrency: ConcurrencyLimit::default(),
-            limits: AdaptiveLimits::default(),
-            rates: ServiceRates::default(),
-            unsure_until: Timestamp::ZERO,
-            next_refresh: Timestamp::ZERO,
-            early: Vec::new(),
+            slow_start: SlowStart::default(),
+            concurrency_limit: ConcurrencyLimit::default(),
+            adaptive_limits: AdaptiveLimits::default(),
+            service_rates: ServiceRates::default(),
+            stale_until: Timestamp::ZERO,
+            next_review: Timestamp::ZERO,
+            early_syns: Vec::new(),
             all_domains_reported: true,
-            unseen_until: None,
+            packets_missed_until: None,
             next_sweep: Timestamp::ZERO,
             report: LoadReport::default(),
             decisions: Vec::new(),
             counts: OutcomeCounts::default(),
-            handshakes: histogram(),
-            answers: histogram(),
+            handshake_latencies: histogram(),
+            answer_latencies: histogram(),
         }
     }
 
-    fn has(&self, mechanism: Mechanism) -> bool {
+    fn is_enabled(&self, mechanism: Mechanism) -> bool {
         self.config.mechanisms.has(mechanism)
     }
 
-    /// Returns how full a target may be for a flow that is late or not.
+    /// Returns the limit up to which a target may be filled by a flow, by whether the flow is late.
     fn limit(&self, late: bool) -> Limit {
-        if late || !self.has(Mechanism::TargetReserve) { Limit::Slots } else { Limit::Usual }
+        if late || !self.is_enabled(Mechanism::TargetReserve) { Limit::Slots } else { Limit::Usual }
     }
 
-    /// Returns what is known of the store.
+    /// Returns the local copy of the store.
     #[must_use]
     pub fn directory(&self) -> &Directory {
         &self.directory
     }
 
-    /// Returns the open work.
+    /// Returns the open requests of all targets.
     #[must_use]
     pub fn open_requests(&self) -> &OpenRequests {
         &self.open_requests
     }
 
-    /// Returns the targets that are avoided.
+    /// Returns the outlier detection of targets that do not answer.
     #[must_use]
     pub fn outliers(&self) -> &Outliers {
         &self.outliers
     }
 
-    /// Returns how many targets are out of reach or gone while flows of theirs may be open.
+    /// Returns the number of targets that are out of reach or gone and may still have open flows.
     #[must_use]
     pub fn unreachable_count(&self) -> usize {
         self.checks.count_unreachable()
     }
 
-    /// Returns how many targets are set aside since their answers look like failures.
+    /// Returns the number of targets that are ejected for failed or overdue answers.
     #[must_use]
     pub fn failing_count(&self, now: Timestamp) -> usize {
         self.failures.ejected_count(now)
     }
 
-    /// Returns how many limits are in force, one for each service and failure domain whose targets are overloaded.
+    /// Returns the number of active adaptive limits, one for each service and failure domain with overloaded targets.
     #[must_use]
     pub fn active_limit_count(&self) -> usize {
-        self.limits.count()
+        self.adaptive_limits.count()
     }
 
-    /// Returns the counts of decisions.
+    /// Returns the number of decisions by outcome.
     #[must_use]
     pub fn counts(&self) -> &OutcomeCounts {
         &self.counts
     }
 
-    /// Returns the times from SYN to finished handshake and from SYN to answer, in milliseconds.
+    /// Returns the latency histograms, in milliseconds: from the SYN to the end of the handshake, and from the SYN
+    /// (or a later request of the flow) to the start of the answer.
     #[must_use]
     pub fn latencies(&self) -> [(&'static str, &Histogram<u32>); 2] {
-        [("handshake", &self.handshakes), ("answer", &self.answers)]
+        [("handshake", &self.handshake_latencies), ("answer", &self.answer_latencies)]
     }
 
-    /// Returns how many flows have a record and how many wait.
+    /// Returns the number of flows with a record and the number of pending flows.
     #[must_use]
     pub fn flow_counts(&self) -> (usize, usize) {
-        (self.flows.len(), self.waiting.len())
+        (self.flows.len(), self.pending.len())
     }
 
-    /// Takes what peers should hear.
+    /// Takes the load report to send to peers.
     pub fn take_report(&mut self) -> LoadReport {
         std::mem::take(&mut self.report)
     }
 
-    /// Takes the targets that have turned out to be out of reach, or to be reached again, since the last call.
+    /// Takes the changes of targets' reachability since the last call.
     pub fn take_reachability_changes(&mut self) -> Vec<ReachabilityChange> {
         self.checks.take_changes()
     }
@@ -292,10 +297,11 @@
         std::mem::take(&mut self.decisions)
     }
 
-    /// Takes over which instances serve, which of them tell each other of open work, and whether all of them do.
+    /// Sets the serving instances, the group that exchanges load reports with this one, and whether that is all of
+    /// them.
     ///
-    /// An instance that has just become known has heard nothing of what is under way here, so all that was reported is told
-    /// again.
+    /// A new instance has received none of the earlier load reports, so all open requests that were reported are
+    /// reported again.
     pub fn set_members(
         &mut self,
         now: Timestamp,
@@ -311,14 +317,14 @@
             }
         }
         if self.group != group {
-            self.unseen_until = Some(now + UNSEEN);
+            self.packets_missed_until = Some(now + MISSED_PACKETS_WINDOW);
         }
         self.instances = instances;
         self.group = group;
         self.all_domains_reported = all_domains_reported;
     }
 
-    /// Takes over news of the store; tells whether anything was new.
+    /// Applies a delta of the store. Returns whether it changed the directory.
     pub fn apply_delta(&mut self, now: Timestamp, delta: &Delta, effects: &mut Vec<Effect>) -> bool {
         let changed = self.directory.apply(now, delta);
         if changed {
@@ -328,65 +334,68 @@
             self.failures.retain(|id| directory.target(id).is_some(), |address| directory.route(address).is_some());
             self.answer_times.retain(|address| directory.route(address).is_some());
             let known = |service: &str| directory.has_service(service);
-            self.limits.retain(known);
-            self.rates.retain(known);
-            self.admit_early(now, effects);
+            self.adaptive_limits.retain(known);
+            self.service_rates.retain(known);
+            self.dispatch_early_syns(now, effects);
             self.dispatch(now, effects);
         }
         changed
     }
 
-    /// Notes that this process was paused: it may have missed that targets left, died or turned cold.
+    /// Handles a pause of this process: it may have missed that targets left, died or turned cold.
     pub fn process_paused(&mut self, now: Timestamp) {
-        self.unsure_until = now + UNSURE;
-        self.unseen_until = Some(now + UNSEEN);
+        self.stale_until = now + STALE_AFTER_PAUSE;
+        self.packets_missed_until = Some(now + MISSED_PACKETS_WINDOW);
     }
 
-    /// Notes that a peer or the store has confirmed what is known here.
+    /// Handles a confirmation by a peer or the store that the directory is up to date.
     pub fn confirm_up_to_date(&mut self, now: Timestamp, effects: &mut Vec<Effect>) {
-        if now < self.unsure_until {
-            self.unsure_until = now;
-            self.admit_early(now, effects);
+        if now < self.stale_until {
+            self.stale_until = now;
+            self.dispatch_early_syns(now, effects);
         }
     }
 
-    /// Tells whether callers should be sent here, by whether other failure domains can be reached.
+    /// Returns whether this instance is ready to receive callers' packets, given whether it reaches other failure
+    /// domains.
     #[must_use]
     pub fn readiness(&mut self, now: Timestamp, others_in_reach: bool) -> Readiness {
-        let reach = ReadinessInputs {
+        let inputs = ReadinessInputs {
             directory: &self.directory,
             outliers: &self.outliers,
             domain: &self.config.domain,
             handshake_timeout: self.handshake_timeout.limit(),
         };
-        let others_in_reach = others_in_reach || !self.has(Mechanism::ReadinessByReach);
-        let judged = reach.readiness(now, others_in_reach);
-        self.refusal.apply(now, judged)
+        let others_in_reach = others_in_reach || !self.is_enabled(Mechanism::ReadinessByReach);
+        let readiness = inputs.readiness(now, others_in_reach);
+        self.unready_limit.apply(now, readiness)
     }
 
-    /// Tells whether new flows may be placed by what is known here.
+    /// Returns whether new flows may be placed: the directory is synced and not possibly stale.
     fn may_place(&self, now: Timestamp) -> bool {
-        self.directory.is_synced() && now >= self.unsure_until
+        self.directory.is_synced() && now >= self.stale_until
     }
 
-    /// Decides about the SYNs that came before the directory was whole, or while it may have been old.
-    fn admit_early(&mut self, now: Timestamp, effects: &mut Vec<Effect>) {
+    /// Handles the buffered SYNs once new flows may be placed.
+    fn dispatch_early_syns(&mut self, now: Timestamp, effects: &mut Vec<Effect>) {
         if !self.may_place(now) {
             return;
         }
-        for (since, segment, packet) in std::mem::take(&mut self.early) {
-            if now.saturating_sub(since) < EARLY_AGE {
+        for (since, segment, packet) in std::mem::take(&mut self.early_syns) {
+            if now.saturating_sub(since) < MAX_EARLY_SYN_AGE {
                 let first = effects.len();
                 self.handle_packet_at(now, since, &segment, &packet, effects);
                 for effect in &mut effects[first..] {
-                    keep(effect, &packet);
+                    use_buffered(effect, &packet);
                 }
             }
         }
     }
 
-    /// Returns what an instance needs that knows everything up to a revision: open work too if it has just started. One
-    /// that only lacks some news hears of work by load reports.
+    /// Returns the state transfer for a peer whose directory is at revision `since`.
+    ///
+    /// Open requests and avoided targets are included only for a peer that has just started (`since` is zero). Any
+    /// other peer has them from load reports.
     #[must_use]
     pub fn handover(&self, now: Timestamp, since: Revision) -> Handover {
         let delta = self.directory.delta_since(now, since);
@@ -397,7 +406,7 @@
         Handover { delta, open_requests, avoid, members: Vec::new() }
     }
 
-    /// Takes over what a peer has handed over; tells whether the store's part brought anything new.
+    /// Applies a state transfer from a peer. Returns whether its delta changed the directory.
     pub fn apply_handover(&mut self, now: Timestamp, handover: &Handover, effects: &mut Vec<Effect>) -> bool {
         for (flow, target, age) in &handover.open_requests {
             if !self.open_requests.is_open(*flow) {
@@ -410,12 +419,12 @@
         self.apply_delta(now, &handover.delta, effects)
     }
 
-    /// Decides about a caller's packet.
+    /// Handles a packet of a caller, and appends the effects.
     pub fn handle_packet(&mut self, now: Timestamp, segment: &Segment, packet: &[u8], effects: &mut Vec<Effect>) {
         self.handle_packet_at(now, now, segment, packet, effects);
     }
 
-    /// Decides about a packet that came at `since`, which is earlier when it was kept.
+    /// Handles a packet that arrived at `since`, which is earlier than `now` if the packet was buffered.
     fn handle_packet_at(
         &mut self,
         now: Timestamp,
@@ -424,45 +433,47 @@
         packet: &[u8],
         effects: &mut Vec<Effect>,
     ) {
-        let opens = matches!(segment.kind, SegmentKind::Syn { .. });
-        if !self.directory.is_synced() || (opens && !self.may_place(now)) {
-            self.not_ready(now, segment, packet);
+        let is_syn = matches!(segment.kind, SegmentKind::Syn { .. });
+        if !self.directory.is_synced() || (is_syn && !self.may_place(now)) {
+            self.buffer_or_drop(now, segment, packet);
             return;
         }
         let Some(route) = self.directory.route(segment.flow.service) else {
-            self.no_route(segment, effects);
+            self.reset_no_route(segment, effects);
             return;
         };
         match segment.kind {
             SegmentKind::Syn { retransmissions } => {
                 let route = route.clone();
-                self.open(now, &Syn { segment, retransmissions, packet, since }, &route, effects);
+                self.handle_syn(now, &Syn { segment, retransmissions, packet, since }, &route, effects);
             }
-            SegmentKind::Ack | SegmentKind::Fin | SegmentKind::Rst => self.carry(now, segment, effects),
+            SegmentKind::Ack | SegmentKind::Fin | SegmentKind::Rst => self.handle_established(now, segment, effects),
         }
     }
 
-    /// Keeps a SYN until the directory is whole; anything else has no target that could be told.
-    fn not_ready(&mut self, now: Timestamp, segment: &Segment, packet: &[u8]) {
-        let known = self.early.iter().any(|(_, early, _)| early.flow == segment.flow);
-        let kept = matches!(segment.kind, SegmentKind::Syn { .. }) && self.has(Mechanism::EarlySyns);
-        if kept && !known && self.early.len() < MAX_EARLY {
-            self.early.push((now, *segment, packet.into()));
+    /// Buffers a SYN until new flows may be placed. Drops any other packet, since its target is not known yet.
+    fn buffer_or_drop(&mut self, now: Timestamp, segment: &Segment, packet: &[u8]) {
+        let is_buffered = self.early_syns.iter().any(|(_, early, _)| early.flow == segment.flow);
+        let may_buffer = matches!(segment.kind, SegmentKind::Syn { .. }) && self.is_enabled(Mechanism::EarlySyns);
+        if may_buffer && !is_buffered && self.early_syns.len() < MAX_EARLY_SYNS {
+            self.early_syns.push((now, *segment, packet.into()));
         } else {
-            self.decide(Decision::new(segment.flow, Outcome::DroppedNotReady));
+            self.record_decision(Decision::new(segment.flow, Outcome::DroppedNotReady));
         }
     }
 
-    fn no_route(&mut self, segment: &Segment, effects: &mut Vec<Effect>) {
+    /// Resets a flow whose address has no route, unless the packet is itself a reset.
+    fn reset_no_route(&mut self, segment: &Segment, effects: &mut Vec<Effect>) {
         self.flows.remove(&segment.flow);
-        self.end_work(segment.flow);
+        self.abandon_request(segment.flow);
         if segment.kind != SegmentKind::Rst {
             effects.push(Effect::Reset(*segment));
-            self.decide(Decision::new(segment.flow, Outcome::ResetNoRoute));
+            self.record_decision(Decision::new(segment.flow, Outcome::ResetNoRoute));
         }
     }
 
-    fn decide(&mut self, decision: Decision) {
+    /// Counts a decision and queues it for the log.
+    fn record_decision(&mut self, decision: Decision) {
         self.counts.add(decision.outcome);
         self.decisions.push(decision);
     }
--- a/crates/core/src/direct/dispatcher/reporting.rs
+++ b/crates/core/src/direct/dispatcher/reporting.rs
@@ -1,4 +1,4 @@
-//! Load reports: what is told to the other instances, and what follows from what they tell.
+//! Load reports: what this instance reports to its peers, and how it applies their reports.
 
 use std::time::Duration;
 
@@ -15,50 +15,50 @@
 use hawthornshift_model::TargetId;
 
 impl Dispatcher {
-    /// Takes over what a peer reports.
+    /// Applies a peer's load report.
     pub fn apply_load_report(&mut self, now: Timestamp, report: &LoadReport, effects: &mut Vec<Effect>) {
         for open in &report.started {
-            self.receive_open(now, *open);
+            self.apply_open_request(now, *open);
         }
         for answered in &report.ended {
-            self.receive_answered(now, *answered);
+            self.apply_answered_request(now, *answered);
         }
         for flow in &report.abandoned {
-            self.flows.answered_elsewhere(*flow);
+            self.flows.answered_at_peer(*flow);
             self.open_requests.abandon(*flow);
         }
         for failed in &report.failed {
-            if let Some(target) = self.known(failed.target) {
+            if let Some(target) = self.target_by_cookie(failed.target) {
                 self.count_answers(target, failed.unreported);
                 self.failures.failed(now, target);
             }
         }
         for cookie in &report.overdue {
-            if let Some(target) = self.known(*cookie) {
+            if let Some(target) = self.target_by_cookie(*cookie) {
                 self.failures.overdue(now, target);
             }
         }
         for cookie in &report.answered_overdue {
-            if let Some(target) = self.known(*cookie) {
+            if let Some(target) = self.target_by_cookie(*cookie) {
                 self.failures.answered_overdue(now, target);
             }
         }
         for (cookie, cold_time) in &report.recovered {
-            if let Some(target) = self.known(*cookie) {
+            if let Some(target) = self.target_by_cookie(*cookie) {
                 self.outliers.mark_cold(now, target, *cold_time);
             }
         }
         for cookie in &report.alive {
-            if let Some(target) = self.known(*cookie) {
+            if let Some(target) = self.target_by_cookie(*cookie) {
                 self.outliers.record_liveness(now, target);
             }
         }
         for (cookie, avoidance) in &report.avoid {
-            if let Some(target) = self.known(*cookie) {
-                self.receive_suspicion(now, target, *avoidance);
+            if let Some(target) = self.target_by_cookie(*cookie) {
+                self.apply_peer_suspicion(now, target, *avoidance);
             }
         }
-        if self.has(Mechanism::DomainReach) {
+        if self.is_enabled(Mechanism::DomainReach) {
             for (domain, avoidance) in &report.avoid_domains {
                 self.domains.receive(now, domain, *avoidance);
             }
@@ -66,26 +66,30 @@
                 self.domains.receive_answer(now, domain);
             }
         }
-        self.receive_findings(now, report, effects);
+        self.apply_check_results(now, report, effects);
         self.dispatch(now, effects);
     }
 
-    pub(super) fn known(&self, cookie: Cookie) -> Option<TargetId> {
+    /// Returns the target with a cookie, if the directory has it.
+    pub(super) fn target_by_cookie(&self, cookie: Cookie) -> Option<TargetId> {
         self.directory.by_cookie(cookie).map(|target| target.id)
     }
 
-    fn receive_open(&mut self, now: Timestamp, open: OpenRequest) {
-        self.flows.moved(open.flow);
-        self.waiting.remove(open.flow);
+    /// Applies a peer's open request: the flow passes through that peer now, and its request counts for the target.
+    /// On a cold target it also counts against the slow-start budget.
+    fn apply_open_request(&mut self, now: Timestamp, open: OpenRequest) {
+        self.flows.moved_to_peer(open.flow);
+        self.pending.remove(open.flow);
         let Some(target) = self.directory.by_cookie(open.target) else { return };
         self.open_requests.record_reported(now, open.flow, target.id, Duration::from_millis(u64::from(open.age_ms)));
         if target.is_cold(now) || self.outliers.is_returning(now, target.id) {
-            self.cold.taken_by_peer(now, target.id);
+            self.slow_start.taken_by_peer(now, target.id);
         }
     }
 
-    fn receive_answered(&mut self, now: Timestamp, answered: AnsweredRequest) {
-        self.flows.answered_elsewhere(answered.flow);
+    /// Applies a peer's answered request, with the answers of the same target that the peer had not reported.
+    fn apply_answered_request(&mut self, now: Timestamp, answered: AnsweredRequest) {
+        self.flows.answered_at_peer(answered.flow);
         if let Some(ended) = self.open_requests.record_reported_end(now, answered.flow, answered.unreported) {
             self.outliers.record_liveness(now, ended.target);
             self.count_answers(ended.target, answered.unreported.saturating_add(1));
@@ -98,9 +102,9 @@
         }
     }
 
-    /// Takes over a peer's suspicion, and says so if the target has answered here of late.
-    fn receive_suspicion(&mut self, now: Timestamp, target: TargetId, avoidance: Duration) {
-        if self.has(Mechanism::OutlierDetection) {
+    /// Applies a peer's suspicion of a target, and refutes it by a report if the target has answered here recently.
+    fn apply_peer_suspicion(&mut self, now: Timestamp, target: TargetId, avoidance: Duration) {
+        if self.is_enabled(Mechanism::OutlierDetection) {
             self.outliers.apply_suspicion(now, target, avoidance);
         }
         self.checks.suspect(now, target);
@@ -109,9 +113,9 @@
         }
     }
 
-    /// Reports an open request to the other instances.
+    /// Reports an open request to the peers.
     pub(super) fn report_open(&mut self, now: Timestamp, flow: FlowHash, target: TargetId) {
-        if !self.has(Mechanism::LoadReports) {
+        if !self.is_enabled(Mechanism::LoadReports) {
             return;
         }
         let Some(since) = self.open_requests.mark_reported(flow) else { return };
@@ -119,9 +123,10 @@
         self.report.started.push(OpenRequest { flow, target: cookie(target), age_ms });
     }
 
-    /// Reports a request that a target has just been given if it is notable at once: the target is slow or was so when it
-    /// was last used, its slots are full, or it is cold, and then every other instance must know that its rate is used up.
-    pub(super) fn report_if_notable(&mut self, now: Timestamp, flow: FlowHash, target: TargetId) {
+    /// Reports a request that was just placed if peers need it at once: the target is slow or was slow when last
+    /// used, has more open requests than slots, or is cold. For a cold target every peer must know that its budget is
+    /// used.
+    pub(super) fn report_if_needed(&mut self, now: Timestamp, flow: FlowHash, target: TargetId) {
         let slots = self.directory.target(target).map_or(1, |target| target.spec.slots.max(1));
         if self.open_requests.has_been_slow(target)
             || self.open_requests.count(target) > slots
@@ -131,8 +136,8 @@
         }
     }
 
-    /// Notes a sign of life of a target, and tells it to those who suspect the target.
-    pub(super) fn note_alive(&mut self, now: Timestamp, target: TargetId) {
+    /// Records that a target answered, and reports it if peers suspect the target.
+    pub(super) fn record_liveness(&mut self, now: Timestamp, target: TargetId) {
         self.checks.answered(now, target);
         if self.outliers.answers(now, target) {
             self.report.alive.push(cookie(target));
--- a/crates/core/src/direct/dispatcher/resetting.rs
+++ b/crates/core/src/direct/dispatcher/resetting.rs
@@ -1,7 +1,8 @@
-//! Open flows whose target is out of reach: they are reset, so that their callers open others at once.
+//! Resets of open flows whose target is out of reach, so that their callers open new flows at once.
 //!
-//! A request that may be repeated loses nothing by a reset. One that may not is left alone unless its target is gone: its
-//! target may have received it before a partition and answer it past the partition, and its caller would not try again.
+//! A request that may be repeated loses nothing by a reset. A request that may not be repeated is reset only if its
+//! target is gone: the target may have received it before a partition and may still answer it after the partition,
+//! whereas the caller would not try again after a reset.
 
 use std::time::Duration;
 
@@ -25,11 +26,12 @@
 use crate::rendezvous;
 use hawthornshift_model::TargetId;
 
-/// Instances that check a target for one that could not reach it: one may be the asker itself, and one may be in trouble.
-const CHECKERS: usize = 4;
+/// Number of instances that check a target for a peer that could not reach it. One of them may be that peer itself,
+/// and one may be faulty.
+const CHECKERS_PER_TARGET: usize = 4;
 
 impl Dispatcher {
-    /// Takes in the outcome of a check of a target.
+    /// Handles the outcome of a reachability check, and reports it to the peers if they asked for it or need it.
     pub fn check_finished(
         &mut self,
         now: Timestamp,
@@ -52,29 +54,31 @@
             list.push(cookie(target));
         }
         match finding {
-            Finding::OutOfReach => self.lose_reach(now, target, effects),
-            // Others need a moment to find the same, and this instance checks again meanwhile.
+            Finding::OutOfReach => self.mark_out_of_reach(now, target, effects),
+            // Peers need some time to confirm the failure; this instance checks again meanwhile.
             Finding::Failed => self.check_targets(now, effects),
             Finding::Alive | Finding::Inconclusive | Finding::StillOutOfReach => {}
         }
     }
 
-    fn lose_reach(&mut self, now: Timestamp, target: TargetId, effects: &mut Vec<Effect>) {
+    /// Avoids a target that is out of reach, reports it and resets its flows.
+    fn mark_out_of_reach(&mut self, now: Timestamp, target: TargetId, effects: &mut Vec<Effect>) {
         let avoidance = self.outliers.out_of_reach(now, target);
         self.report.avoid.push((cookie(target), avoidance));
-        self.reset_waiting(now, target, effects);
+        self.reset_unanswered(now, target, effects);
     }
 
-    /// Takes over what a peer has found out about targets that it could not reach.
-    pub(super) fn receive_findings(&mut self, now: Timestamp, report: &LoadReport, effects: &mut Vec<Effect>) {
-        for target in report.alive.iter().filter_map(|cookie| self.known(*cookie)).collect::<Vec<_>>() {
+    /// Applies a peer's reachability results, and checks the targets that the peer could not reach.
+    pub(super) fn apply_check_results(&mut self, now: Timestamp, report: &LoadReport, effects: &mut Vec<Effect>) {
+        for target in report.alive.iter().filter_map(|cookie| self.target_by_cookie(*cookie)).collect::<Vec<_>>() {
             self.checks.refuted(now, target);
         }
-        let unreached: Vec<TargetId> = report.unreachable.iter().filter_map(|cookie| self.known(*cookie)).collect();
-        let confirmed = report.confirmed.iter().filter_map(|cookie| self.known(*cookie));
+        let unreached: Vec<TargetId> =
+            report.unreachable.iter().filter_map(|cookie| self.target_by_cookie(*cookie)).collect();
+        let confirmed = report.confirmed.iter().filter_map(|cookie| self.target_by_cookie(*cookie));
         for target in unreached.iter().copied().chain(confirmed).collect::<Vec<_>>() {
             if self.checks.confirmed(now, target) {
-                self.lose_reach(now, target, effects);
+                self.mark_out_of_reach(now, target, effects);
             }
         }
         for target in unreached.iter().copied().filter(|target| self.is_checker(*target)).collect::<Vec<_>>() {
@@ -85,21 +89,22 @@
         }
     }
 
-    /// Tells whether this instance is one of those that check a target for others: everyone in a small fleet, since most of
-    /// its instances may be behind the same partition as the target, and a few of a failure domain in a large one.
+    /// Returns whether this instance checks a target for its peers. In a small fleet every instance does, since most
+    /// of them may be behind the same partition as the target. In a large one [`CHECKERS_PER_TARGET`] instances of
+    /// the group do, chosen by rendezvous hashing.
     fn is_checker(&self, target: TargetId) -> bool {
         if self.all_domains_reported {
             return true;
         }
         let mine = rendezvous::score(target, u64::from(self.config.id));
         let before = self.group.iter().filter(|id| rendezvous::score(target, u64::from(**id)) > mine).count();
-        before < CHECKERS
+        before < CHECKERS_PER_TARGET
     }
 
-    /// Notes that a target was sent a request on an open flow, and checks it at once if it is suspected.
+    /// Records that a request was sent to a target on an open flow, and checks the target at once if it is suspected.
     ///
-    /// Each instance would else find out for itself, after the time that an answer may take, and the caller's request would
-    /// be late by then.
+    /// Without that check each instance would detect the fault only after the time that an answer may take, when the
+    /// caller's request is already late.
     pub(super) fn expect_answer(&mut self, now: Timestamp, target: TargetId, effects: &mut Vec<Effect>) {
         self.checks.sent(now, target);
         if self.outliers.is_suspected(target) {
@@ -108,9 +113,9 @@
         }
     }
 
-    /// Asks for checks of the targets that owe answers for too long.
+    /// Starts checks of the targets whose answers are overdue.
     pub(super) fn check_targets(&mut self, now: Timestamp, effects: &mut Vec<Effect>) {
-        if !self.has(Mechanism::TargetChecks) {
+        if !self.is_enabled(Mechanism::TargetChecks) {
             return;
         }
         let open_requests = &self.open_requests;
@@ -119,20 +124,20 @@
             if self.directory.is_replaced(target) {
                 self.checks.skip(now, target);
                 if self.checks.gone(target) {
-                    self.reset_waiting(now, target, effects);
+                    self.reset_unanswered(now, target, effects);
                 }
             } else if let Some(known) =
                 self.directory.target(target).filter(|known| known.entry_state != EntryState::Draining)
             {
                 effects.push(Effect::Check { target, to: known.spec.address });
             } else {
-                // One that leaves may stop to listen while it still serves its flows.
+                // A draining target may have closed its listening socket while it still serves its flows.
                 self.checks.skip(now, target);
             }
         }
     }
 
-    /// Resets the flow of a packet that its target cannot get; tells whether it did.
+    /// Resets the flow of a request that its target cannot receive. Returns whether it did.
     pub(super) fn reset_unreachable(
         &mut self,
         now: Timestamp,
@@ -140,20 +145,22 @@
         target: TargetId,
         effects: &mut Vec<Effect>,
     ) -> bool {
-        let asks = segment.payload_bytes > 0 && segment.kind == SegmentKind::Ack;
-        if !asks || !self.may_reset(segment.flow, target) {
+        let is_request = segment.payload_bytes > 0 && segment.kind == SegmentKind::Ack;
+        if !is_request || !self.may_reset(segment.flow, target) {
             return false;
         }
         self.reset_open(now, *segment, target, effects);
         true
     }
 
-    /// Resets the flows whose callers wait for a target that has just turned out to be out of reach.
-    fn reset_waiting(&mut self, now: Timestamp, target: TargetId, effects: &mut Vec<Effect>) {
-        let waits = |stage: &Stage| if let Stage::AwaitingAnswer { base } = stage { Some(*base) } else { None };
+    /// Resets the flows that await an answer of a target that has just become unreachable.
+    fn reset_unanswered(&mut self, now: Timestamp, target: TargetId, effects: &mut Vec<Effect>) {
+        let waits =
+            |stage: &Stage| if let Stage::AwaitingAnswer { request_ack } = stage { Some(*request_ack) } else { None };
         let flows = self.flows.unanswered().filter(|flow| flow.target == target);
-        let open: Vec<(FlowId, u32, u32)> =
-            flows.filter_map(|flow| waits(&flow.stage).map(|base| (flow.id, flow.sequence, base))).collect();
+        let open: Vec<(FlowId, u32, u32)> = flows
+            .filter_map(|flow| waits(&flow.stage).map(|request_ack| (flow.id, flow.sequence, request_ack)))
+            .collect();
         for (flow, sequence, acknowledged) in open {
             if self.may_reset(flow, target) {
                 let kind = SegmentKind::Ack;
@@ -163,6 +170,8 @@
         }
     }
 
+    /// Returns whether a flow may be reset: its target is gone, or is out of reach and the route's requests may be
+    /// repeated.
     fn may_reset(&self, flow: FlowId, target: TargetId) -> bool {
         match self.checks.reachability(target) {
             Reachability::Reachable => false,
@@ -173,13 +182,14 @@
         }
     }
 
+    /// Resets an open flow and removes its record.
     fn reset_open(&mut self, now: Timestamp, segment: Segment, target: TargetId, effects: &mut Vec<Effect>) {
         let asked = self.flows.get(&segment.flow).map(|flow| flow.first_seen);
         let took = asked.map_or(Duration::ZERO, |asked| now.saturating_sub(asked));
-        self.end_work(segment.flow);
+        self.abandon_request(segment.flow);
         self.flows.remove(&segment.flow);
         effects.push(Effect::Reset(segment));
         let decision = Decision::new(segment.flow, Outcome::ResetUnreachable);
-        self.decide(Decision { took, target: Some(target), ..decision });
+        self.record_decision(Decision { took, target: Some(target), ..decision });
     }
 }
--- a/crates/core/src/direct/flows.rs
+++ b/crates/core/src/direct/flows.rs
@@ -1,8 +1,8 @@
-//! Flows whose packets pass through this instance.
+//! Connection tracking of the flows whose packets pass through this instance.
 //!
-//! The records are an aid and not the truth: any instance can forward any packet by its cookie alone. They tell when a
-//! handshake is overdue, when a request has been answered, and which target a flow belongs to when two of them have
-//! answered its SYN.
+//! The records are optional state: any instance can forward any packet by its cookie alone. They serve to detect when
+//! a handshake is overdue and when a request has been answered, and determine the target of a flow when two targets
+//! have answered its SYN.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -13,151 +13,152 @@
 use crate::maps::Map;
 use hawthornshift_model::TargetId;
 
-/// Time without a packet after which the record of a flow that waits for an answer, or is closed, is dropped: callers
-/// repeat what is not acknowledged within less.
-const SILENT: Duration = Duration::from_secs(3);
-/// The same for a flow that is open without a request. It is longer than the pauses that callers make, so that a
-/// request after a pause is not taken for a flow that has moved here.
-const IDLE: Duration = Duration::from_secs(15);
+/// Time without a packet after which the record of a flow that awaits an answer, or is closed, is dropped. Callers
+/// retransmit unacknowledged data sooner.
+const SILENT_TIMEOUT: Duration = Duration::from_secs(3);
+/// Time without a packet after which the record of an idle flow (open without a request) is dropped. It is longer
+/// than the pauses that callers make between requests, so that a request after a pause is not taken for a flow that
+/// has moved here.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// How far a flow has come.
+/// State of a flow.
 #[derive(Clone, Debug)]
 pub enum Stage {
-    /// Its SYN was sent to a target; nothing has come from the caller since.
+    /// The SYN was sent to a target; no other packet of the caller has arrived since.
     Handshake(PendingHandshake),
-    /// The caller waits for an answer; it had received bytes up to this number before.
+    /// The caller has sent a request, or completed the handshake, and awaits an answer.
     AwaitingAnswer {
-        /// The acknowledgement that came with the request.
-        base: u32,
+        /// Acknowledgement number of the packet with the request. A higher one means that the answer has started.
+        request_ack: u32,
     },
-    /// The answer has begun to arrive; how, if that was seen here.
-    Answered(Option<AnswerBegun>),
-    /// The caller has sent its last bytes.
+    /// The answer has started to arrive; its start is known if it was observed by this instance.
+    Answered(Option<AnswerStart>),
+    /// The caller has sent a FIN or RST.
     Closed,
 }
 
 impl Stage {
-    /// Tells whether the caller waits for an answer.
+    /// Returns whether the caller awaits an answer.
     #[must_use]
     pub fn awaits_answer(&self) -> bool {
         matches!(self, Self::Handshake(_) | Self::AwaitingAnswer { .. })
     }
 }
 
-/// An answer that has begun to arrive.
+/// Start of an answer.
 #[derive(Clone, Copy, Debug)]
-pub struct AnswerBegun {
-    /// The acknowledgement that came with the request.
-    pub base: u32,
-    /// How long after the request it began.
+pub struct AnswerStart {
+    /// Acknowledgement number of the packet with the request.
+    pub request_ack: u32,
+    /// Time from the request to the start of the answer.
     pub after: Duration,
 }
 
-/// A handshake that is not finished.
+/// An unfinished handshake.
 #[derive(Clone, Debug)]
 pub struct PendingHandshake {
-    /// When the SYN was sent to the present target.
+    /// When the SYN was sent to the current target.
     pub sent: Timestamp,
-    /// The SYN, to be sent to another target.
+    /// The SYN packet, for a retry at another target.
     pub packet: Box<[u8]>,
-    /// Targets that it was sent to before.
+    /// Targets that the SYN was sent to before.
     pub tried: Vec<TargetId>,
 }
 
-/// One flow.
+/// Record of one flow.
 #[derive(Clone, Debug)]
 pub struct Flow {
-    /// Its two ends.
+    /// Endpoints of the flow.
     pub id: FlowId,
-    /// Its target.
+    /// Target of the flow.
     pub target: TargetId,
-    /// Number of the SYN, which tells a copy from a new flow between the same ends.
+    /// Sequence number of the SYN. It distinguishes a retransmission from a new flow between the same endpoints.
     pub sequence: u32,
-    /// How far it has come.
+    /// State of the flow.
     pub stage: Stage,
-    /// When its first SYN came here.
+    /// When the first SYN, or the current request if it is a later one, arrived at this instance.
     pub first_seen: Timestamp,
-    /// When its last packet came.
+    /// When the last packet arrived.
     pub last_seen: Timestamp,
     /// The route's latency objective.
     pub objective: Duration,
-    /// Whether its target was set aside since the present request was not answered.
+    /// Whether the answer to the current request was found overdue, which may have ejected the target.
     pub overdue: bool,
 }
 
-/// All flows with a record, by their short names.
+/// Records of flows, by flow hash.
 #[derive(Clone, Debug, Default)]
 pub struct FlowRecords {
     flows: Map<FlowHash, Flow>,
-    handshakes: VecDeque<(Timestamp, FlowHash)>,
+    handshake_timers: VecDeque<(Timestamp, FlowHash)>,
 }
 
 impl FlowRecords {
-    /// Tells how many there are.
+    /// Returns the number of records.
     #[must_use]
     pub fn len(&self) -> usize {
         self.flows.len()
     }
 
-    /// Tells whether there is none.
+    /// Returns whether there are no records.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.flows.is_empty()
     }
 
-    /// Returns the flows whose callers wait for an answer.
+    /// Returns the flows whose callers await an answer.
     pub fn unanswered(&self) -> impl Iterator<Item = &Flow> {
         self.flows.values().filter(|flow| flow.stage.awaits_answer())
     }
 
-    /// Returns a flow.
+    /// Returns the record of a flow.
     #[must_use]
     pub fn get(&self, id: &FlowId) -> Option<&Flow> {
         self.flows.get(&id.flow_hash()).filter(|flow| flow.id == *id)
     }
 
-    /// Returns a flow to be changed.
+    /// Returns the record of a flow for modification.
     pub fn get_mut(&mut self, id: &FlowId) -> Option<&mut Flow> {
         self.flows.get_mut(&id.flow_hash()).filter(|flow| flow.id == *id)
     }
 
-    /// Puts a flow in.
+    /// Inserts a record, replacing any other with the same flow hash.
     pub fn insert(&mut self, flow: Flow) {
         self.flows.insert(flow.id.flow_hash(), flow);
     }
 
-    /// Looks at a flow's handshake at a time.
-    pub fn watch_handshake(&mut self, flow: FlowHash, due: Timestamp) {
-        self.handshakes.push_back((due, flow));
+    /// Schedules a handshake timeout for a flow.
+    pub fn schedule_handshake_timeout(&mut self, flow: FlowHash, due: Timestamp) {
+        self.handshake_timers.push_back((due, flow));
     }
 
-    /// Removes a flow.
+    /// Removes the record of a flow, and returns it.
     pub fn remove(&mut self, id: &FlowId) -> Option<Flow> {
         self.get(id)?;
         self.flows.remove(&id.flow_hash())
     }
 
-    /// Notes that another instance serves a flow now, since its caller's packets go there.
+    /// Removes a flow in the handshake state whose packets now pass through another instance.
     ///
-    /// Without this the handshake would seem never to be finished, and its SYN would go to a second target, whose
-    /// answer would lead the rest of the flow astray.
-    pub fn moved(&mut self, flow: FlowHash) {
+    /// Otherwise its handshake would time out here and its SYN would be sent to a second target, whose answer would
+    /// divert the rest of the flow to the wrong target.
+    pub fn moved_to_peer(&mut self, flow: FlowHash) {
         if self.flows.get(&flow).is_some_and(|flow| matches!(flow.stage, Stage::Handshake(_))) {
             self.flows.remove(&flow);
         }
     }
 
-    /// Notes that another instance has seen a flow's answer.
-    pub fn answered_elsewhere(&mut self, flow: FlowHash) {
-        self.moved(flow);
+    /// Records that another instance has observed the answer of a flow.
+    pub fn answered_at_peer(&mut self, flow: FlowHash) {
+        self.moved_to_peer(flow);
         if let Some(flow) = self.flows.get_mut(&flow).filter(|flow| flow.stage.awaits_answer()) {
             flow.stage = Stage::Answered(None);
         }
     }
 
-    /// Returns the next flow whose handshake should be finished by now, with the time when it was due.
+    /// Takes the next handshake timeout that has expired, and returns its time and its flow.
     pub fn pop_due(&mut self, now: Timestamp) -> Option<(Timestamp, FlowId)> {
-        while let Some((due, flow)) = self.handshakes.pop_front_if(|(due, _)| *due <= now) {
+        while let Some((due, flow)) = self.handshake_timers.pop_front_if(|(due, _)| *due <= now) {
             if let Some(flow) = self.flows.get(&flow) {
                 return Some((due, flow.id));
             }
@@ -165,16 +166,17 @@
         None
     }
 
-    /// Returns when the next handshake is due.
+    /// Returns the time of the next handshake timeout.
     #[must_use]
     pub fn next_due(&self) -> Option<Timestamp> {
-        self.handshakes.front().map(|(due, _)| *due)
+        self.handshake_timers.front().map(|(due, _)| *due)
     }
 
-    /// Drops the records of flows that have been silent, and returns those that were still waiting for an answer.
+    /// Drops the records of flows without a packet for their timeout, and returns those that were still awaiting an
+    /// answer.
     pub fn sweep(&mut self, now: Timestamp) -> Vec<Flow> {
         let silent = |_: &FlowHash, flow: &mut Flow| {
-            let limit = if matches!(flow.stage, Stage::Answered(_)) { IDLE } else { SILENT };
+            let limit = if matches!(flow.stage, Stage::Answered(_)) { IDLE_TIMEOUT } else { SILENT_TIMEOUT };
             now.saturating_sub(flow.last_seen) >= limit
         };
         let dropped = self.flows.extract_if(silent).map(|(_, flow)| flow);
