--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -429,7 +429,9 @@
         state: crate::message::MemberState,
     },
     /// This process was paused for longer than its lease.
-    WokeLate {
+    #[serde(rename = "woke-late")]
+    #[strum(serialize = "woke-late")]
+    PauseDetected {
         /// How long.
         gap: Duration,
     },
--- a/crates/core/src/message.rs
+++ b/crates/core/src/message.rs
@@ -94,7 +94,8 @@
         running: u32,
     },
     /// Asks for the last words of issuers that have stopped; sent by an instance that has just joined.
-    LastWordsRequest,
+    #[serde(rename = "last-words-request")]
+    FinalReportsRequest,
     /// Says which tickets of an issuer were redeemed, sent as the last word before a planned stop; all others of
     /// that life never ran and never will.
     IssuerClosed {
@@ -160,9 +161,9 @@
     #[must_use]
     pub fn max_encoded_len(&self) -> usize {
         /// Numbers and lengths in the variable form: id, incarnation, version, state, length of the name.
-        const NUMBERS: usize = 5 + 10 + 5 + 1 + 2;
+        const VARINT_FIELDS_MAX_BYTES: usize = 5 + 10 + 5 + 1 + 2;
         let address = |address: &SocketAddr| if address.is_ipv4() { 8 } else { 20 };
-        NUMBERS + self.failure_domain.len() + address(&self.control) + address(&self.forward)
+        VARINT_FIELDS_MAX_BYTES + self.failure_domain.len() + address(&self.control) + address(&self.forward)
     }
 }
 
@@ -290,7 +291,7 @@
     /// The service.
     pub service: ServiceId,
     /// What the receiver is asked to do.
-    pub purpose: PassPurpose,
+    pub purpose: ForwardedRequestPurpose,
     /// Whether running it twice does no harm.
     pub idempotent: bool,
     /// Time left until the caller's deadline.
@@ -300,14 +301,15 @@
 /// What the receiver of a passed request is asked to do.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
-pub enum PassPurpose {
+pub enum ForwardedRequestPurpose {
     /// Redeem a ticket that it has issued.
     Redeem {
         /// The ticket.
         ticket: String,
     },
     /// Run it at a target that it keeps.
-    Keep,
+    #[serde(rename = "keep")]
+    Execute,
 }
 
 /// How a request ended.
--- a/crates/core/src/node/fence.rs
+++ b/crates/core/src/node/fence.rs
@@ -17,7 +17,7 @@
 const REFRESH_PEERS: usize = 3;
 /// Time after which an instance that has just started, or woken late, serves although no peer has confirmed its view:
 /// it is alone, or cut off, and then serves what it can.
-const FENCE_LIMIT: Duration = Duration::from_secs(2);
+const FENCE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time between two rounds of pings while a view is to be confirmed.
 const REFRESH_PERIOD: Duration = Duration::from_millis(150);
 
@@ -40,7 +40,7 @@
 impl Fence {
     /// Returns the fence of a node that starts now.
     pub(super) fn joining(now: Timestamp) -> Self {
-        Self { first_sequence: 0, until: now + FENCE_LIMIT, next_refresh: now, joining: true }
+        Self { first_sequence: 0, until: now + FENCE_TIMEOUT, next_refresh: now, joining: true }
     }
 }
 
@@ -50,16 +50,16 @@
     /// Others may have taken over its flows and targets meanwhile. It would show as packets to a failure domain that
     /// is out, or as two keepers at one target. So nothing new is decided until a peer has answered a ping that was
     /// sent after the pause.
-    pub(super) fn notice_pause(&mut self, now: Timestamp, out: &mut Vec<Output>) {
+    pub(super) fn detect_pause(&mut self, now: Timestamp, out: &mut Vec<Output>) {
         let gap = now.saturating_sub(self.last_input);
         self.last_input = self.last_input.max(now);
         if gap < self.tuning.lease || self.phase == Phase::Starting {
             return;
         }
-        out.push(Output::Notice(Notice::WokeLate { gap }));
+        out.push(Output::Notice(Notice::PauseDetected { gap }));
         let joining = self.fence.is_some_and(|fence| fence.joining);
         let first_sequence = self.membership.next_sequence();
-        self.fence = Some(Fence { first_sequence, until: now + FENCE_LIMIT, next_refresh: now, joining });
+        self.fence = Some(Fence { first_sequence, until: now + FENCE_TIMEOUT, next_refresh: now, joining });
         self.platform.read_all_now(now);
         self.tick_fence(now, out);
     }
@@ -70,14 +70,14 @@
         let has_set = self.configuration.revision() > 0;
         if !has_set {
             // Who serves is often learned together with the set; the time to find the others starts with it.
-            fence.until = now + FENCE_LIMIT;
+            fence.until = now + FENCE_TIMEOUT;
         }
         if has_set && now >= fence.until {
             self.lift_fence(now, out);
         } else if now >= fence.next_refresh {
             fence.next_refresh = now + REFRESH_PERIOD;
-            let signals = self.membership.refresh(now, &mut self.rng, REFRESH_PEERS);
-            self.send_signals(signals, out);
+            let probe_messages = self.membership.refresh(now, &mut self.rng, REFRESH_PEERS);
+            self.send_probe_messages(probe_messages, out);
         }
     }
 
@@ -91,10 +91,10 @@
         out: &mut Vec<Output>,
     ) {
         let Some(fence) = self.fence else { return };
-        let own = self.configuration.revision() > 0 && view == self.view.digest();
-        if own && sequence >= fence.first_sequence {
+        let views_match = self.configuration.revision() > 0 && view == self.view.digest();
+        if views_match && sequence >= fence.first_sequence {
             if fence.joining {
-                self.send(from, PeerMessage::LastWordsRequest, out);
+                self.send(from, PeerMessage::FinalReportsRequest, out);
             }
             self.lift_fence(now, out);
         }
@@ -110,7 +110,7 @@
         } else {
             self.flows.woke(now, before);
         }
-        let (requests, mut cx) = self.request_cx(now, out);
+        let (requests, mut cx) = self.request_context(now, out);
         requests.fence_lifted(&mut cx);
     }
 }
--- a/crates/core/src/node/lifecycle.rs
+++ b/crates/core/src/node/lifecycle.rs
@@ -12,9 +12,9 @@
 use hawthornshift_model::InstanceId;
 
 /// Time that the last word of a stopping instance is given to reach its peers.
-const FAREWELL: Duration = Duration::from_millis(200);
+const CLOSING_TIME: Duration = Duration::from_millis(200);
 /// Shortest time a planned stop takes, so that every peer has left this instance out of its view before it ends.
-const MIN_DRAIN: Duration = Duration::from_secs(1);
+const MIN_DRAIN_TIME: Duration = Duration::from_secs(1);
 
 /// Where a node stands in its life.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -26,7 +26,7 @@
     /// It stops as planned and finishes what it has.
     Stopping { since: Timestamp },
     /// It has said its last word and waits for it to arrive.
-    Farewell { since: Timestamp },
+    Closing { since: Timestamp },
     /// It is done.
     Stopped,
     /// A newer life of it exists.
@@ -38,7 +38,7 @@
         match self {
             Self::Starting => "starting",
             Self::Serving => "serving",
-            Self::Stopping { .. } | Self::Farewell { .. } => "stopping",
+            Self::Stopping { .. } | Self::Closing { .. } => "stopping",
             Self::Stopped => "stopped",
             Self::Superseded => "superseded",
         }
@@ -57,20 +57,20 @@
     pub(super) fn tick_phase(&mut self, now: Timestamp, out: &mut Vec<Output>) {
         match self.phase {
             Phase::Stopping { since } => {
-                self.leave_views(now, since, out);
-                let spent = now.saturating_sub(since);
+                self.announce_leaving(now, since, out);
+                let elapsed = now.saturating_sub(since);
                 let idle = self.flows.held() == 0 && self.streams.is_empty() && self.requests.under_way() == 0;
-                let alone = self.membership.reachable().next().is_none();
-                let done = spent >= MIN_DRAIN && (idle || alone && self.requests.under_way() == 0);
-                if done || spent >= self.tuning.drain {
-                    self.say_farewell(now, out);
+                let is_alone = self.membership.reachable().next().is_none();
+                let done = elapsed >= MIN_DRAIN_TIME && (idle || is_alone && self.requests.under_way() == 0);
+                if done || elapsed >= self.tuning.drain {
+                    self.send_final_report(now, out);
                 }
             }
-            Phase::Farewell { since } => {
-                let spent = now.saturating_sub(since);
+            Phase::Closing { since } => {
+                let elapsed = now.saturating_sub(since);
                 // The fabric may have handed in more meanwhile.
                 let idle = self.requests.under_way() == 0;
-                if spent >= FAREWELL && idle || spent >= self.tuning.drain {
+                if elapsed >= CLOSING_TIME && idle || elapsed >= self.tuning.drain {
                     self.phase = Phase::Stopped;
                     out.push(Output::Stopped);
                 }
@@ -80,17 +80,17 @@
     }
 
     /// Tells every peer at once that this instance is leaving, and takes itself out of its own view.
-    pub(super) fn leave_views(&mut self, now: Timestamp, since: Timestamp, out: &mut Vec<Output>) {
+    pub(super) fn announce_leaving(&mut self, now: Timestamp, since: Timestamp, out: &mut Vec<Output>) {
         if self.view.serves(self.membership.me().id) {
             self.rebuild_view(now, out);
         }
         // Repeated, since a peer may miss the first word; heartbeats carry it anyway.
-        if now.saturating_sub(since) < MIN_DRAIN && self.rng.random_ratio(1, 4) || now == since {
-            self.tell_everyone(out);
+        if now.saturating_sub(since) < MIN_DRAIN_TIME && self.rng.random_ratio(1, 4) || now == since {
+            self.broadcast_heartbeat(out);
         }
     }
 
-    pub(super) fn tell_everyone(&mut self, out: &mut Vec<Output>) {
+    pub(super) fn broadcast_heartbeat(&mut self, out: &mut Vec<Output>) {
         let peers: Vec<InstanceId> = self.membership.reachable().map(|update| update.id).collect();
         for to in peers {
             let heartbeat = self.heartbeat(0, false, to);
@@ -99,8 +99,8 @@
     }
 
     /// Says which tickets were redeemed. From here on none is, or the word would be untrue.
-    pub(super) fn say_farewell(&mut self, now: Timestamp, out: &mut Vec<Output>) {
-        self.phase = Phase::Farewell { since: now };
+    pub(super) fn send_final_report(&mut self, now: Timestamp, out: &mut Vec<Output>) {
+        self.phase = Phase::Closing { since: now };
         self.membership.depart();
         self.tickets.close();
         let MemberUpdate { id: issuer, incarnation, .. } = *self.membership.me();
--- a/crates/core/src/node/messages.rs
+++ b/crates/core/src/node/messages.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use super::Node;
-use super::surroundings;
+use super::flow_context;
 use crate::Timestamp;
 use crate::event::Notice;
 use crate::event::Output;
@@ -30,26 +30,26 @@
             PeerMessage::Ping(heartbeat) => {
                 let sequence = heartbeat.sequence;
                 let differs = heartbeat.view != self.view.digest();
-                self.take_heartbeat(now, from, heartbeat, out);
+                self.process_heartbeat(now, from, heartbeat, out);
                 let answer = self.heartbeat(sequence, differs, from);
                 self.send(from, PeerMessage::Ack(answer), out);
             }
             PeerMessage::Ack(heartbeat) => {
-                let signal = self.membership.acknowledged(now, heartbeat.sequence, from);
+                let probe_message = self.membership.acknowledged(now, heartbeat.sequence, from);
                 let (sequence, view) = (heartbeat.sequence, heartbeat.view);
-                self.take_heartbeat(now, from, heartbeat, out);
-                self.send_signals(signal, out);
+                self.process_heartbeat(now, from, heartbeat, out);
+                self.send_probe_messages(probe_message, out);
                 self.confirm_view(now, from, sequence, view, out);
             }
             PeerMessage::IndirectPing { sequence, subject } => {
-                let signal = self.membership.ping_for(now, subject, from, sequence);
-                self.send_signals(signal, out);
+                let probe_message = self.membership.ping_for(now, subject, from, sequence);
+                self.send_probe_messages(probe_message, out);
             }
             PeerMessage::IndirectAck { sequence, subject } => {
                 self.membership.acknowledged_indirectly(now, sequence, subject);
             }
             PeerMessage::SetRequest { have } => self.send_set(from, have, out),
-            PeerMessage::SetOffer { set } => self.take_set(now, *set, out),
+            PeerMessage::SetOffer { set } => self.process_set_offer(now, *set, out),
             PeerMessage::FlowBatch(batch) => self.flow_batch(now, from, &batch, out),
             PeerMessage::FlowsSuperseded { service, callers } => self.flows.superseded(now, service, &callers),
             PeerMessage::FlowBatchAck { sequence, superseded } => {
@@ -57,13 +57,13 @@
             }
             PeerMessage::CoordinatorRelease { target, running } => {
                 self.coordinator.released_by(now, from, target, running);
-                let (requests, mut cx) = self.request_cx(now, out);
+                let (requests, mut cx) = self.request_context(now, out);
                 requests.start_queued(&mut cx);
             }
-            PeerMessage::LastWordsRequest => {
-                let words: Vec<PeerMessage> = self.tickets.last_words().collect();
-                for word in words {
-                    self.send(from, word, out);
+            PeerMessage::FinalReportsRequest => {
+                let reports: Vec<PeerMessage> = self.tickets.final_reports().collect();
+                for report in reports {
+                    self.send(from, report, out);
                 }
             }
             PeerMessage::IssuerClosed { issuer, incarnation, known_since_ms, redeemed } => {
@@ -74,7 +74,7 @@
 
     pub(super) fn flow_batch(&mut self, now: Timestamp, from: InstanceId, batch: &FlowBatch, out: &mut Vec<Output>) {
         let Self { flows, view, membership, health, configuration, fence, .. } = self;
-        let cx = surroundings(view, membership, health, configuration, fence.as_ref());
+        let cx = flow_context(view, membership, health, configuration, fence.as_ref());
         let Superseded { senders, others } = flows.apply_batch(now, from, batch, cx);
         let FlowBatch { sequence, service, .. } = *batch;
         self.send(from, PeerMessage::FlowBatchAck { sequence, superseded: senders }, out);
@@ -83,7 +83,7 @@
         }
     }
 
-    pub(super) fn take_heartbeat(
+    pub(super) fn process_heartbeat(
         &mut self,
         now: Timestamp,
         from: InstanceId,
@@ -91,9 +91,9 @@
         out: &mut Vec<Output>,
     ) {
         self.membership.merge_updates(now, &heartbeat.members);
-        for news in heartbeat.targets {
-            if self.health.note(now, news) {
-                out.push(Output::Notice(Notice::TargetChanged { target: news.target, status: news.status }));
+        for updates in heartbeat.targets {
+            if self.health.note(now, updates) {
+                out.push(Output::Notice(Notice::TargetChanged { target: updates.target, status: updates.status }));
             }
         }
         let have = self.configuration.revision();
@@ -104,7 +104,7 @@
     }
 
     pub(super) fn heartbeat(&mut self, sequence: Sequence, differs: bool, to: InstanceId) -> Heartbeat {
-        let near = self
+        let same_domain = self
             .membership
             .member(to)
             .is_some_and(|update| update.failure_domain == self.membership.me().failure_domain);
@@ -119,7 +119,7 @@
             set_digest: self.configuration.catalog().digest(),
             view: self.view.digest(),
             members,
-            targets: if near { self.coordinator.status_updates(false) } else { Vec::new() },
+            targets: if same_domain { self.coordinator.status_updates(false) } else { Vec::new() },
         }
     }
 
@@ -132,13 +132,13 @@
     }
 
     /// Takes a set from a peer, checked anew: the peer may run another version of this program.
-    pub(super) fn take_set(&mut self, now: Timestamp, set: PublishedSet, out: &mut Vec<Output>) {
+    pub(super) fn process_set_offer(&mut self, now: Timestamp, set: PublishedSet, out: &mut Vec<Output>) {
         let revision = set.revision;
         if revision < self.configuration.revision() {
             return;
         }
         match CheckedSet::new(set) {
-            Ok(checked) => self.offer(now, Arc::new(checked), out),
+            Ok(checked) => self.apply_set(now, Arc::new(checked), out),
             Err(error) => {
                 self.configuration.count_refused();
                 out.push(Output::Notice(Notice::SetRefused { revision, reason: error.to_string() }));
@@ -147,21 +147,21 @@
     }
 
     /// Tells the instances of this failure domain what has changed about the targets kept here.
-    pub(super) fn send_target_news(&mut self, out: &mut Vec<Output>) {
-        let news = self.coordinator.status_updates(true);
-        if news.is_empty() {
+    pub(super) fn broadcast_target_status(&mut self, out: &mut Vec<Output>) {
+        let updates = self.coordinator.status_updates(true);
+        if updates.is_empty() {
             return;
         }
         // The news concerns this instance's own flows first of all.
         let now = self.last_input;
-        for item in &news {
-            self.health.note(now, *item);
+        for update in &updates {
+            self.health.note(now, *update);
         }
         let domain = self.membership.me().failure_domain.clone();
-        let near = self.membership.reachable().filter(|update| update.failure_domain == domain);
-        let near: Vec<InstanceId> = near.map(|update| update.id).collect();
-        for to in near {
-            let heartbeat = Heartbeat { targets: news.clone(), ..self.heartbeat(0, false, to) };
+        let same_domain = self.membership.reachable().filter(|update| update.failure_domain == domain);
+        let same_domain: Vec<InstanceId> = same_domain.map(|update| update.id).collect();
+        for to in same_domain {
+            let heartbeat = Heartbeat { targets: updates.clone(), ..self.heartbeat(0, false, to) };
             self.send(to, PeerMessage::Ack(heartbeat), out);
         }
     }
@@ -175,9 +175,13 @@
         }
     }
 
-    pub(super) fn send_signals(&mut self, signals: impl IntoIterator<Item = ProbeMessage>, out: &mut Vec<Output>) {
-        for signal in signals {
-            let (to, message) = match signal {
+    pub(super) fn send_probe_messages(
+        &mut self,
+        probe_messages: impl IntoIterator<Item = ProbeMessage>,
+        out: &mut Vec<Output>,
+    ) {
+        for probe_message in probe_messages {
+            let (to, message) = match probe_message {
                 ProbeMessage::Ping { to, sequence } => (to, PeerMessage::Ping(self.heartbeat(sequence, false, to))),
                 ProbeMessage::IndirectPing { to, sequence, subject } => {
                     (to, PeerMessage::IndirectPing { sequence, subject })
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -39,7 +39,7 @@
 use crate::message::MemberUpdate;
 use crate::message::PeerMessage;
 use crate::platform::PlatformReader;
-use crate::requests::RequestCx;
+use crate::requests::RequestContext;
 use crate::requests::Requests;
 use crate::streams::Streams;
 use crate::tickets::KEY_BYTES;
@@ -151,12 +151,12 @@
 
     /// Takes one input and appends what follows from it to `out`.
     pub fn handle(&mut self, now: Timestamp, input: Input, out: &mut Vec<Output>) {
-        self.notice_pause(now, out);
+        self.detect_pause(now, out);
         match input {
             Input::CallerPacket { service, caller } => self.caller_packet(now, FlowKey { service, caller }, out),
             Input::ForwardedPacket(head) => {
                 let Self { flows, view, membership, health, configuration, fence, invariant_counters, .. } = self;
-                let cx = surroundings(view, membership, health, configuration, fence.as_ref());
+                let cx = flow_context(view, membership, health, configuration, fence.as_ref());
                 out.push(Output::Packet(flows.forwarded_packet(now, &head, cx, invariant_counters)));
             }
             Input::TargetPacket { target, local_port } => {
@@ -169,9 +169,9 @@
                 self.membership.merge_update(now, &update);
             }
             Input::PeerUnreachable { to } => self.membership.unreachable(now, to),
-            Input::SetRead(set) => self.set_read(now, set, out),
+            Input::SetRead(set) => self.process_set_read(now, set, out),
             Input::SetUnchanged => self.platform_answered(now, Resource::Set),
-            Input::InstancesRead(list) => self.instances_read(now, &list),
+            Input::InstancesRead(list) => self.process_instances_read(now, &list),
             Input::InstancesUnchanged => self.platform_answered(now, Resource::Instances),
             Input::PlatformFailed(resource) => {
                 let watches = PlatformReader::watches(&self.view, self.membership.me());
@@ -195,15 +195,15 @@
 
     /// Takes an input that concerns a request.
     fn request_input(&mut self, now: Timestamp, input: Input, out: &mut Vec<Output>) {
-        let (requests, mut cx) = self.request_cx(now, out);
+        let (requests, mut cx) = self.request_context(now, out);
         let cx = &mut cx;
         match input {
             Input::RequestArrived { request, service, idempotent, ticket, timeout } => {
                 requests.arrived(cx, request, service, idempotent, ticket.as_deref(), timeout);
             }
-            Input::ForwardedRequestArrived { request, head, .. } => requests.passed(cx, request, &head),
-            Input::ForwardedRequestEnded { request, result, free } => requests.pass_ended(cx, request, result, free),
-            Input::ForwardedRequestFailed { request, verdict } => requests.pass_failed(cx, request, verdict),
+            Input::ForwardedRequestArrived { request, head, .. } => requests.forward_arrived(cx, request, &head),
+            Input::ForwardedRequestEnded { request, result, free } => requests.forward_ended(cx, request, result, free),
+            Input::ForwardedRequestFailed { request, verdict } => requests.forward_failed(cx, request, verdict),
             Input::TargetAnswered { request, attempt, answer } => {
                 requests.target_answered(cx, request, attempt, answer);
             }
@@ -226,11 +226,15 @@
         }
     }
 
-    fn request_cx<'a>(&'a mut self, now: Timestamp, out: &'a mut Vec<Output>) -> (&'a mut Requests, RequestCx<'a>) {
-        let cx = RequestCx {
+    fn request_context<'a>(
+        &'a mut self,
+        now: Timestamp,
+        out: &'a mut Vec<Output>,
+    ) -> (&'a mut Requests, RequestContext<'a>) {
+        let cx = RequestContext {
             now,
             lease_state: self.lease_state(now),
-            closed: matches!(self.phase, Phase::Farewell { .. } | Phase::Stopped | Phase::Superseded),
+            issuer_closed: matches!(self.phase, Phase::Closing { .. } | Phase::Stopped | Phase::Superseded),
             view: &self.view,
             members: &self.membership,
             coordinator: &mut self.coordinator,
@@ -244,7 +248,7 @@
 
     fn caller_packet(&mut self, now: Timestamp, key: FlowKey, out: &mut Vec<Output>) {
         let Self { flows, view, membership, health, configuration, fence, invariant_counters, .. } = self;
-        let cx = surroundings(view, membership, health, configuration, fence.as_ref());
+        let cx = flow_context(view, membership, health, configuration, fence.as_ref());
         out.push(Output::Packet(flows.caller_packet(now, key, cx, invariant_counters)));
     }
 
@@ -254,22 +258,22 @@
         }
         self.next_tick = now + TICK_PERIOD;
         self.tick_fence(now, out);
-        let signals = self.membership.tick(now, &mut self.rng);
-        self.send_signals(signals, out);
-        self.follow_members(now, out);
+        let probe_messages = self.membership.tick(now, &mut self.rng);
+        self.send_probe_messages(probe_messages, out);
+        self.apply_membership_changes(now, out);
         self.read_platform(now, out);
         self.health.expire(now);
         self.tick_flows(now, out);
         self.tick_requests(now, out);
-        self.tick_probes(now, out);
+        self.tick_health_checks(now, out);
         self.send_releases(out);
-        self.send_target_news(out);
+        self.broadcast_target_status(out);
         self.tick_phase(now, out);
     }
 
     fn tick_flows(&mut self, now: Timestamp, out: &mut Vec<Output>) {
         let Self { flows, view, membership, health, configuration, fence, .. } = self;
-        let cx = surroundings(view, membership, health, configuration, fence.as_ref());
+        let cx = flow_context(view, membership, health, configuration, fence.as_ref());
         let batches = flows.tick(now, cx);
         for (to, batch) in batches {
             self.send(to, PeerMessage::FlowBatch(batch), out);
@@ -279,11 +283,11 @@
     fn tick_requests(&mut self, now: Timestamp, out: &mut Vec<Output>) {
         let dropped = self.tickets.expire(now);
         out.extend(dropped.into_iter().map(|answer| Output::ReleaseAnswer { answer }));
-        let (requests, mut cx) = self.request_cx(now, out);
+        let (requests, mut cx) = self.request_context(now, out);
         requests.expire(&mut cx);
     }
 
-    fn tick_probes(&mut self, now: Timestamp, out: &mut Vec<Output>) {
+    fn tick_health_checks(&mut self, now: Timestamp, out: &mut Vec<Output>) {
         for id in self.coordinator.due_health_checks(now, &mut self.rng) {
             if let Some(target) = self.view.catalog().target(id) {
                 out.push(Output::Probe { target: id, address: target.health });
@@ -307,17 +311,17 @@
         self.platform.answered(now, resource, watches, &mut self.rng);
     }
 
-    fn set_read(&mut self, now: Timestamp, set: Arc<CheckedSet>, out: &mut Vec<Output>) {
+    fn process_set_read(&mut self, now: Timestamp, set: Arc<CheckedSet>, out: &mut Vec<Output>) {
         self.platform_answered(now, Resource::Set);
-        self.offer(now, set, out);
+        self.apply_set(now, set, out);
     }
 
-    fn instances_read(&mut self, now: Timestamp, list: &InstanceList) {
+    fn process_instances_read(&mut self, now: Timestamp, list: &InstanceList) {
         self.platform_answered(now, Resource::Instances);
         self.membership.apply_instance_list(now, list);
     }
 
-    fn offer(&mut self, now: Timestamp, set: Arc<CheckedSet>, out: &mut Vec<Output>) {
+    fn apply_set(&mut self, now: Timestamp, set: Arc<CheckedSet>, out: &mut Vec<Output>) {
         let revision = set.set().revision;
         let before = self.configuration.catalog().digest();
         let adoption = self.configuration.offer(now, set, &mut self.invariant_counters);
@@ -339,7 +343,7 @@
     ///
     /// It is done once a tick and not for each piece of news: a view of the largest fleet takes milliseconds, and an
     /// instance that joins it hears of hundreds of others one by one.
-    fn follow_members(&mut self, now: Timestamp, out: &mut Vec<Output>) {
+    fn apply_membership_changes(&mut self, now: Timestamp, out: &mut Vec<Output>) {
         if self.membership.superseded() && self.phase != Phase::Superseded {
             self.phase = Phase::Superseded;
             out.push(Output::Superseded);
@@ -362,10 +366,10 @@
         }
         let former = std::mem::replace(&mut self.view, view);
         self.flows.view_changed(now, former, self.configuration.catalog());
-        let stranded = self.coordinator.view_changed(now, &self.view, &mut self.rng);
+        let unplaced = self.coordinator.view_changed(now, &self.view, &mut self.rng);
         self.requests.view_changed(&self.view, &self.membership.me().failure_domain);
-        let (requests, mut cx) = self.request_cx(now, out);
-        requests.stranded(&mut cx, stranded);
+        let (requests, mut cx) = self.request_context(now, out);
+        requests.retry_after_target_move(&mut cx, unplaced);
         let closing = self.streams.leading_out_of_service(self.configuration.catalog());
         out.extend(closing.into_iter().map(|stream| Output::CloseStream { stream }));
         self.send_releases(out);
@@ -379,7 +383,7 @@
         out: &mut Vec<Output>,
     ) {
         self.coordinator.record_health_check(now, target, report);
-        let (requests, mut cx) = self.request_cx(now, out);
+        let (requests, mut cx) = self.request_context(now, out);
         requests.start_queued(&mut cx);
     }
 
@@ -392,7 +396,7 @@
     }
 }
 
-fn surroundings<'a>(
+fn flow_context<'a>(
     view: &'a View,
     members: &'a Membership,
     health: &'a TargetStatusCache,
--- a/crates/core/src/node/state.rs
+++ b/crates/core/src/node/state.rs
@@ -43,7 +43,7 @@
             requests_under_way: self.requests.under_way(),
             running: self.coordinator.running(),
             queued: self.coordinator.queued(),
-            tickets_remembered: self.tickets.remembered(),
+            tickets_remembered: self.tickets.redemption_count(),
             answer_bytes: self.tickets.answer_bytes(),
             kept: self.coordinator.targets(name),
             breaches: self.invariant_counters.breaches(),
--- a/crates/core/src/requests/budget.rs
+++ b/crates/core/src/requests/budget.rs
@@ -3,11 +3,11 @@
 use serde::Serialize;
 
 /// Retries earned by each first try, in hundredths.
-const EARNED: u32 = 10;
+const DEPOSIT_HUNDREDTHS: u32 = 10;
 /// Cost of a retry, in hundredths.
-const COST: u32 = 100;
+const RETRY_COST_HUNDREDTHS: u32 = 100;
 /// Most that can be saved up, in hundredths.
-const MOST: u32 = 1_000;
+const MAX_BALANCE_HUNDREDTHS: u32 = 1_000;
 
 /// A share of the load that may be spent on retries.
 ///
@@ -21,22 +21,22 @@
 
 impl Default for RetryBudget {
     fn default() -> Self {
-        Self { hundredths: MOST }
+        Self { hundredths: MAX_BALANCE_HUNDREDTHS }
     }
 }
 
 impl RetryBudget {
     /// Notes a first try, which earns part of a retry.
-    pub fn earn(&mut self) {
-        self.hundredths = (self.hundredths + EARNED).min(MOST);
+    pub fn deposit(&mut self) {
+        self.hundredths = (self.hundredths + DEPOSIT_HUNDREDTHS).min(MAX_BALANCE_HUNDREDTHS);
     }
 
     /// Spends one retry if there is one.
-    pub fn spend(&mut self) -> bool {
-        let enough = self.hundredths >= COST;
-        if enough {
-            self.hundredths -= COST;
+    pub fn try_withdraw(&mut self) -> bool {
+        let is_available = self.hundredths >= RETRY_COST_HUNDREDTHS;
+        if is_available {
+            self.hundredths -= RETRY_COST_HUNDREDTHS;
         }
-        enough
+        is_available
     }
 }
--- a/crates/core/src/requests/mod.rs
+++ b/crates/core/src/requests/mod.rs
@@ -11,7 +11,7 @@
 //! The verdict speaks of the request, not of one try: a retry with the same ticket is the same request. So of a
 //! ticket only its issuer says "not run", which knows every redemption; an entry that cannot reach the issuer says
 //! "may have run" even though it did nothing itself. Along a request's way verdicts only get worse ([`Verdict`] is
-//! ordered); `worst` in each entry sees to that.
+//! ordered); `worst_verdict` in each entry sees to that.
 
 pub mod budget;
 mod outcome;
@@ -24,7 +24,7 @@
 use serde::Serialize;
 
 use self::budget::RetryBudget;
-use self::routing::Routing;
+use self::routing::CoordinatorSelector;
 use crate::Timestamp;
 use crate::catalog::GroupId;
 use crate::coordinator::Admission;
@@ -39,7 +39,7 @@
 use crate::maps::Map;
 use crate::membership::Membership;
 use crate::message::ForwardedRequestHeader;
-use crate::message::PassPurpose;
+use crate::message::ForwardedRequestPurpose;
 use crate::message::Reason;
 use crate::message::Refusal;
 use crate::tickets::ClosedIssuerStatus;
@@ -56,14 +56,14 @@
 use hawthornshift_model::Verdict;
 
 /// Keepers that a request is offered to at most.
-const MAX_KEEPERS: usize = 4;
+const MAX_COORDINATORS_TRIED: usize = 4;
 /// Most requests that one instance handles at once.
 const MAX_REQUESTS: usize = 20_000;
 /// What each hop takes off the time left, so that the instance nearest the target gives up first and can say why.
-const HOP_MARGIN: Duration = Duration::from_millis(20);
+const HOP_TIMEOUT_MARGIN: Duration = Duration::from_millis(20);
 
 /// What the request decisions look at and act on besides their own state.
-pub struct RequestCx<'a> {
+pub struct RequestContext<'a> {
     /// The present time.
     pub now: Timestamp,
     /// The view in force.
@@ -81,7 +81,7 @@
     /// How far the view may be trusted.
     pub lease_state: LeaseState,
     /// Whether no more tickets are issued, since this instance has said its last word.
-    pub closed: bool,
+    pub issuer_closed: bool,
     /// Where actions go.
     pub out: &'a mut Vec<Output>,
 }
@@ -108,11 +108,11 @@
 
 /// Where a request came from.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Part {
+enum Role {
     /// From a caller, without a ticket of another issuer: this instance is entry and owner.
     Owner,
     /// From a caller, with a ticket of another issuer: this instance is only the entry.
-    Entry,
+    Ingress,
     /// From the entry, with a ticket issued here: this instance is the owner.
     Issuer,
     /// From the owner: this instance is the keeper.
@@ -129,7 +129,7 @@
         with_ticket: bool,
     },
     /// Waits for a run of the same ticket.
-    Waiting,
+    AwaitingSameTicket,
     /// At the ticket's issuer.
     AtIssuer,
     /// At a keeper.
@@ -141,8 +141,8 @@
 }
 
 #[derive(Clone, Debug)]
-struct Entry {
-    part: Part,
+struct RequestEntry {
+    role: Role,
     service: ServiceId,
     group: GroupId,
     class: Class,
@@ -150,30 +150,30 @@
     deadline: Timestamp,
     stage: Stage,
     serial: Option<Serial>,
-    tried: Vec<InstanceId>,
+    tried_coordinators: Vec<InstanceId>,
     attempt: AttemptNumber,
-    worst: Verdict,
+    worst_verdict: Verdict,
     /// Whether a try is under way that a target may be running.
-    exposed: bool,
+    may_be_running: bool,
 }
 
 /// All requests that this instance has a part in.
 #[derive(Clone, Debug, Default)]
 pub struct Requests {
-    entries: Map<RequestId, Entry>,
+    entries: Map<RequestId, RequestEntry>,
     deadlines: BTreeSet<(Timestamp, RequestId)>,
     /// Requests that wait until the view is confirmed, with their tickets.
     fenced: Vec<(RequestId, Option<String>)>,
-    routing: Routing,
+    selector: CoordinatorSelector,
     budget: RetryBudget,
     counts: RequestCounts,
 }
 
 /// A request that has just come in.
 #[derive(Clone, Copy)]
-struct Arrived {
+struct NewRequest {
     request: RequestId,
-    part: Part,
+    role: Role,
     service: ServiceId,
     idempotent: bool,
     with_ticket: bool,
@@ -195,13 +195,13 @@
 
     /// Takes over the view.
     pub fn view_changed(&mut self, view: &View, own_domain: &str) {
-        self.routing.view_changed(view, own_domain);
+        self.selector.view_changed(view, own_domain);
     }
 
     /// Takes a request from a caller.
     pub fn arrived(
         &mut self,
-        cx: &mut RequestCx<'_>,
+        cx: &mut RequestContext<'_>,
         request: RequestId,
         service: ServiceId,
         idempotent: bool,
@@ -209,100 +209,100 @@
         timeout: Option<Duration>,
     ) {
         self.counts.arrived += 1;
-        let part = match ticket {
-            Some(text) if !idempotent && !is_own(text, cx.members) => Part::Entry,
-            _ => Part::Owner,
+        let role = match ticket {
+            Some(text) if !idempotent && !is_issued_here(text, cx.members) => Role::Ingress,
+            _ => Role::Owner,
         };
         let with_ticket = ticket.is_some() && !idempotent;
-        let arrived = Arrived { request, part, service, idempotent, with_ticket, time_left: timeout };
-        if !self.enter(cx, arrived) {
+        let new_request = NewRequest { request, role, service, idempotent, with_ticket, time_left: timeout };
+        if !self.register(cx, new_request) {
             return;
         }
-        self.budget.earn();
-        self.begin(cx, request, ticket);
+        self.budget.deposit();
+        self.start(cx, request, ticket);
     }
 
     /// Begins with a request, or has it wait until the view is confirmed.
     ///
     /// An instance behind its fence cannot tell whether a ticket has run, and a caller told "may have run" has lost
     /// what it came for; the fence lifts within a fraction of a second.
-    fn begin(&mut self, cx: &mut RequestCx<'_>, request: RequestId, ticket: Option<&str>) {
+    fn start(&mut self, cx: &mut RequestContext<'_>, request: RequestId, ticket: Option<&str>) {
         let Some(entry) = self.entries.get_mut(&request) else { return };
-        if cx.lease_state == LeaseState::Fenced && entry.part != Part::Coordinator {
+        if cx.lease_state == LeaseState::Fenced && entry.role != Role::Coordinator {
             entry.stage = Stage::Fenced { with_ticket: ticket.is_some() };
             self.fenced.push((request, ticket.map(str::to_owned)));
             return;
         }
-        match (entry.part, ticket) {
-            (Part::Coordinator, _) => self.keep(cx, request),
-            (Part::Owner, _) if entry.idempotent => self.dispatch(cx, request),
+        match (entry.role, ticket) {
+            (Role::Coordinator, _) => self.admit_here(cx, request),
+            (Role::Owner, _) if entry.idempotent => self.dispatch(cx, request),
             (_, None) => self.refuse(cx, request, Verdict::NotRun, Reason::TicketRequired),
-            (Part::Entry, Some(text)) => self.pass_to_issuer(cx, request, text),
-            (Part::Owner | Part::Issuer, Some(text)) => self.redeem(cx, request, text),
+            (Role::Ingress, Some(text)) => self.forward_to_issuer(cx, request, text),
+            (Role::Owner | Role::Issuer, Some(text)) => self.redeem(cx, request, text),
         }
     }
 
     /// Begins with the requests that waited for the view to be confirmed.
-    pub fn fence_lifted(&mut self, cx: &mut RequestCx<'_>) {
+    pub fn fence_lifted(&mut self, cx: &mut RequestContext<'_>) {
         for (request, ticket) in std::mem::take(&mut self.fenced) {
-            self.begin(cx, request, ticket.as_deref());
+            self.start(cx, request, ticket.as_deref());
         }
         self.start_queued(cx);
     }
 
     /// Takes a request from another instance.
-    pub fn passed(&mut self, cx: &mut RequestCx<'_>, request: RequestId, head: &ForwardedRequestHeader) {
+    pub fn forward_arrived(&mut self, cx: &mut RequestContext<'_>, request: RequestId, head: &ForwardedRequestHeader) {
         self.counts.passed_in += 1;
-        let part = match head.purpose {
-            PassPurpose::Redeem { .. } => Part::Issuer,
-            PassPurpose::Keep => Part::Coordinator,
+        let role = match head.purpose {
+            ForwardedRequestPurpose::Redeem { .. } => Role::Issuer,
+            ForwardedRequestPurpose::Execute => Role::Coordinator,
         };
-        let arrived = Arrived {
+        let new_request = NewRequest {
             request,
-            part,
+            role,
             service: head.service,
             idempotent: head.idempotent,
-            with_ticket: part == Part::Issuer,
+            with_ticket: role == Role::Issuer,
             time_left: Some(head.time_left),
         };
-        if !self.enter(cx, arrived) {
+        if !self.register(cx, new_request) {
             return;
         }
         match &head.purpose {
-            PassPurpose::Redeem { ticket } => self.begin(cx, request, Some(ticket)),
-            PassPurpose::Keep => self.begin(cx, request, None),
+            ForwardedRequestPurpose::Redeem { ticket } => self.start(cx, request, Some(ticket)),
+            ForwardedRequestPurpose::Execute => self.start(cx, request, None),
         }
     }
 
     /// Makes an entry for a request, or refuses it at once.
-    fn enter(&mut self, cx: &mut RequestCx<'_>, arrived: Arrived) -> bool {
-        let Arrived { request, part, service, idempotent, with_ticket, time_left } = arrived;
+    fn register(&mut self, cx: &mut RequestContext<'_>, new_request: NewRequest) -> bool {
+        let NewRequest { request, role, service, idempotent, with_ticket, time_left } = new_request;
         // A refusal before the ticket has been looked at says nothing of earlier tries with it.
-        let worst = if with_ticket { Verdict::MayHaveRun } else { Verdict::NotRun };
-        let known = cx.view.catalog().service(service);
-        let Some(known) = known.filter(|_| self.entries.len() < MAX_REQUESTS) else {
-            let reason = if known.is_some() { Reason::TableFull } else { Reason::UnknownService };
-            self.reply_refusal(cx, request, part, service, Refusal { verdict: worst, reason });
+        let worst_verdict = if with_ticket { Verdict::MayHaveRun } else { Verdict::NotRun };
+        let service_entry = cx.view.catalog().service(service);
+        let Some(service_entry) = service_entry.filter(|_| self.entries.len() < MAX_REQUESTS) else {
+            let reason = if service_entry.is_some() { Reason::TableFull } else { Reason::UnknownService };
+            self.reply_refusal(cx, request, role, service, Refusal { verdict: worst_verdict, reason });
             return false;
         };
-        let time_left = time_left.map_or(known.timeout, |timeout| timeout.min(known.timeout));
-        let entry = Entry {
-            part,
+        let time_left = time_left.map_or(service_entry.timeout, |timeout| timeout.min(service_entry.timeout));
+        let entry = RequestEntry {
+            role,
             service,
-            group: known.group_id,
-            class: known.class,
+            group: service_entry.group_id,
+            class: service_entry.class,
             idempotent,
             deadline: cx.now + time_left,
             stage: Stage::New,
             serial: None,
-            tried: Vec::new(),
+            tried_coordinators: Vec::new(),
             attempt: 0,
-            worst: Verdict::NotRun,
-            exposed: false,
+            worst_verdict: Verdict::NotRun,
+            may_be_running: false,
         };
         self.deadlines.insert((entry.deadline, request));
         self.entries.insert(request, entry);
-        if cx.lease_state == LeaseState::Fenced && part == Part::Coordinator {
+        if cx.lease_state == LeaseState::Fenced && role == Role::Coordinator {
             self.refuse(cx, request, Verdict::NotRun, Reason::Fenced);
             return false;
         }
@@ -310,7 +310,7 @@
     }
 
     /// Passes a request to the instance that issued its ticket.
-    fn pass_to_issuer(&mut self, cx: &mut RequestCx<'_>, request: RequestId, text: &str) {
+    fn forward_to_issuer(&mut self, cx: &mut RequestContext<'_>, request: RequestId, text: &str) {
         let Ok(ticket) = Ticket::parse(text) else {
             return self.refuse(cx, request, Verdict::NotRun, Reason::TicketInvalid);
         };
@@ -328,13 +328,13 @@
         };
         let Some(entry) = self.entries.get_mut(&request) else { return };
         entry.stage = Stage::AtIssuer;
-        let purpose = PassPurpose::Redeem { ticket: text.to_owned() };
-        let head = entry.pass_head(cx.now, purpose);
+        let purpose = ForwardedRequestPurpose::Redeem { ticket: text.to_owned() };
+        let head = entry.forwarded_header(cx.now, purpose);
         cx.out.push(Output::ForwardRequest { request, to: ticket.issuer, address, head });
     }
 
     /// Redeems a ticket issued here.
-    fn redeem(&mut self, cx: &mut RequestCx<'_>, request: RequestId, text: &str) {
+    fn redeem(&mut self, cx: &mut RequestContext<'_>, request: RequestId, text: &str) {
         let Some(service) = self.entries.get(&request).map(|entry| entry.service) else { return };
         match cx.tickets.present(cx.now, text, service, request) {
             PresentOutcome::Run(serial) => {
@@ -342,9 +342,9 @@
                 entry.serial = Some(serial);
                 self.dispatch(cx, request);
             }
-            PresentOutcome::Wait => self.set_stage(request, Stage::Waiting),
+            PresentOutcome::Wait => self.set_stage(request, Stage::AwaitingSameTicket),
             PresentOutcome::Closed => self.refuse(cx, request, Verdict::NotRun, Reason::Stopping),
-            PresentOutcome::Answer(answer) => self.answer_kept(cx, request, answer),
+            PresentOutcome::Answer(answer) => self.reply_stored_answer(cx, request, answer),
             PresentOutcome::AnswerGone => self.refuse(cx, request, Verdict::MayHaveRun, Reason::AnswerGone),
             PresentOutcome::Unknown(refusal) => self.refuse(cx, request, refusal.verdict, refusal.reason),
             PresentOutcome::Invalid => self.refuse(cx, request, Verdict::NotRun, Reason::TicketInvalid),
@@ -361,35 +361,35 @@
     }
 
     /// Offers a request to the best keeper that has not refused it yet.
-    fn dispatch(&mut self, cx: &mut RequestCx<'_>, request: RequestId) {
+    fn dispatch(&mut self, cx: &mut RequestContext<'_>, request: RequestId) {
         let Some(entry) = self.entries.get_mut(&request) else { return };
         let me = cx.members.me().id;
         let spare = cx.coordinator.spare_slots(cx.now, entry.group, cx.lease_state);
-        let choice = if entry.tried.len() < MAX_KEEPERS {
-            self.routing.choose(cx.now, entry.group, &entry.tried, me, spare, cx.rng)
+        let choice = if entry.tried_coordinators.len() < MAX_COORDINATORS_TRIED {
+            self.selector.choose(cx.now, entry.group, &entry.tried_coordinators, me, spare, cx.rng)
         } else {
             None
         };
         let Some(coordinator) = choice else {
-            let reason = if entry.tried.is_empty() { Reason::NoTarget } else { Reason::Overloaded };
+            let reason = if entry.tried_coordinators.is_empty() { Reason::NoTarget } else { Reason::Overloaded };
             return self.refuse(cx, request, Verdict::NotRun, reason);
         };
-        entry.tried.push(coordinator);
+        entry.tried_coordinators.push(coordinator);
         if coordinator == me {
-            return self.keep(cx, request);
+            return self.admit_here(cx, request);
         }
         let Some(address) = cx.members.member(coordinator).map(|update| update.control) else {
             return self.dispatch(cx, request);
         };
         entry.stage = Stage::AtCoordinator(coordinator);
-        entry.exposed = true;
-        let head = entry.pass_head(cx.now, PassPurpose::Keep);
-        self.routing.passed(coordinator, entry.group);
+        entry.may_be_running = true;
+        let head = entry.forwarded_header(cx.now, ForwardedRequestPurpose::Execute);
+        self.selector.request_forwarded(coordinator, entry.group);
         cx.out.push(Output::ForwardRequest { request, to: coordinator, address, head });
     }
 
     /// Gives a request a slot of a target kept here, or a place in the queue.
-    fn keep(&mut self, cx: &mut RequestCx<'_>, request: RequestId) {
+    fn admit_here(&mut self, cx: &mut RequestContext<'_>, request: RequestId) {
         let Some(entry) = self.entries.get_mut(&request) else { return };
         let admission =
             cx.coordinator.admit(cx.now, request, entry.group, entry.class, cx.lease_state, cx.invariant_counters);
@@ -398,27 +398,27 @@
             Admission::Queued => entry.stage = Stage::Queued,
             Admission::QueuedInsteadOf(displaced) => {
                 entry.stage = Stage::Queued;
-                self.try_elsewhere(cx, displaced, Reason::Overloaded);
+                self.retry_elsewhere(cx, displaced, Reason::Overloaded);
             }
-            Admission::Full => self.try_elsewhere(cx, request, Reason::Overloaded),
-            Admission::NoTarget => self.try_elsewhere(cx, request, Reason::NoTarget),
+            Admission::Full => self.retry_elsewhere(cx, request, Reason::Overloaded),
+            Admission::NoTarget => self.retry_elsewhere(cx, request, Reason::NoTarget),
         }
     }
 
-    fn execute(&mut self, cx: &mut RequestCx<'_>, request: RequestId, target: TargetId) {
+    fn execute(&mut self, cx: &mut RequestContext<'_>, request: RequestId, target: TargetId) {
         let Some(entry) = self.entries.get_mut(&request) else {
             cx.coordinator.attempt_ended(cx.now, request, AttemptOutcome::Cancelled);
             return;
         };
         let Some(target) = cx.view.catalog().target(target) else {
             cx.coordinator.attempt_ended(cx.now, request, AttemptOutcome::Cancelled);
-            return self.try_elsewhere(cx, request, Reason::NoTarget);
+            return self.retry_elsewhere(cx, request, Reason::NoTarget);
         };
         cx.invariant_counters.assert(cx.view.catalog().domains()[target.domain].in_service, Invariant::OutDomainSilent);
         let own = cx.view.catalog().service(entry.service).map(|service| service.group_id);
         cx.invariant_counters.assert(own == Some(target.group_id), Invariant::PacketStaysWithService);
         entry.stage = Stage::Running;
-        entry.exposed = true;
+        entry.may_be_running = true;
         entry.attempt += 1;
         let time_left = entry.deadline.saturating_sub(cx.now);
         let attempt = entry.attempt;
@@ -426,10 +426,10 @@
     }
 
     /// Goes on with a request that has not run where it was: the owner tries another keeper.
-    fn try_elsewhere(&mut self, cx: &mut RequestCx<'_>, request: RequestId, reason: Reason) {
+    fn retry_elsewhere(&mut self, cx: &mut RequestContext<'_>, request: RequestId, reason: Reason) {
         let Some(entry) = self.entries.get_mut(&request) else { return };
-        entry.exposed = false;
-        if entry.part == Part::Coordinator {
+        entry.may_be_running = false;
+        if entry.role == Role::Coordinator {
             self.refuse(cx, request, Verdict::NotRun, reason);
         } else {
             self.counts.retries += 1;
@@ -438,11 +438,11 @@
     }
 
     /// Goes on with a request of which a try may have run: only an idempotent one is tried again, within the budget.
-    fn may_have_run(&mut self, cx: &mut RequestCx<'_>, request: RequestId, reason: Reason) {
+    fn may_have_run(&mut self, cx: &mut RequestContext<'_>, request: RequestId, reason: Reason) {
         let Some(entry) = self.entries.get_mut(&request) else { return };
-        entry.worst = Verdict::MayHaveRun;
-        entry.exposed = false;
-        if entry.idempotent && entry.part != Part::Coordinator && self.budget.spend() {
+        entry.worst_verdict = Verdict::MayHaveRun;
+        entry.may_be_running = false;
+        if entry.idempotent && entry.role != Role::Coordinator && self.budget.try_withdraw() {
             self.counts.retries += 1;
             return self.dispatch(cx, request);
         }
@@ -450,43 +450,43 @@
     }
 
     /// Takes the word of an instance that a request was passed to.
-    pub fn pass_ended(
+    pub fn forward_ended(
         &mut self,
-        cx: &mut RequestCx<'_>,
+        cx: &mut RequestContext<'_>,
         request: RequestId,
         result: Result<StoredAnswer, Refusal>,
         free: Option<u32>,
     ) {
         let Some(entry) = self.entries.get(&request) else {
-            return self.drop_late(cx, result.ok());
+            return self.discard_late_answer(cx, result.ok());
         };
         match (entry.stage, result) {
             (Stage::AtIssuer, Ok(answer)) => self.answer(cx, request, answer),
             (Stage::AtIssuer, Err(refusal)) => self.refuse(cx, request, refusal.verdict, refusal.reason),
             (Stage::AtCoordinator(coordinator), result) => {
-                self.routing.ended(cx.now, coordinator, entry.group, free);
+                self.selector.request_ended(cx.now, coordinator, entry.group, free);
                 match result {
                     Ok(answer) => self.answer(cx, request, answer),
                     Err(refusal) if refusal.verdict == Verdict::NotRun => {
-                        self.try_elsewhere(cx, request, refusal.reason);
+                        self.retry_elsewhere(cx, request, refusal.reason);
                     }
                     Err(refusal) => self.may_have_run(cx, request, refusal.reason),
                 }
             }
-            (_, result) => self.drop_late(cx, result.ok()),
+            (_, result) => self.discard_late_answer(cx, result.ok()),
         }
     }
 
     /// Notes that the instance that a request was passed to said nothing.
-    pub fn pass_failed(&mut self, cx: &mut RequestCx<'_>, request: RequestId, verdict: Verdict) {
+    pub fn forward_failed(&mut self, cx: &mut RequestContext<'_>, request: RequestId, verdict: Verdict) {
         let Some(entry) = self.entries.get(&request) else { return };
         match entry.stage {
             // Earlier tries with the same ticket may have reached the issuer.
             Stage::AtIssuer => self.refuse(cx, request, Verdict::MayHaveRun, Reason::IssuerGone),
             Stage::AtCoordinator(coordinator) => {
-                self.routing.ended(cx.now, coordinator, entry.group, Some(0));
+                self.selector.request_ended(cx.now, coordinator, entry.group, Some(0));
                 if verdict == Verdict::NotRun {
-                    self.try_elsewhere(cx, request, Reason::ConnectionBroken);
+                    self.retry_elsewhere(cx, request, Reason::ConnectionBroken);
                 } else {
                     self.may_have_run(cx, request, Reason::ConnectionBroken);
                 }
@@ -503,13 +503,13 @@
     /// Takes a target's whole answer.
     pub fn target_answered(
         &mut self,
-        cx: &mut RequestCx<'_>,
+        cx: &mut RequestContext<'_>,
         request: RequestId,
         attempt: AttemptNumber,
         answer: StoredAnswer,
     ) {
         if !self.is_current(request, attempt) {
-            return self.drop_late(cx, Some(answer));
+            return self.discard_late_answer(cx, Some(answer));
         }
         cx.coordinator.attempt_ended(cx.now, request, AttemptOutcome::Success);
         self.answer(cx, request, answer);
@@ -519,7 +519,7 @@
     /// Takes the failure of a try at a target.
     pub fn target_failed(
         &mut self,
-        cx: &mut RequestCx<'_>,
+        cx: &mut RequestContext<'_>,
         request: RequestId,
         attempt: AttemptNumber,
         refusal: Refusal,
@@ -527,11 +527,11 @@
         if !self.is_current(request, attempt) {
             return;
         }
-        let evidence =
+        let outcome =
             if refusal.reason == Reason::RefusedByTarget { AttemptOutcome::Shed } else { AttemptOutcome::Failed };
-        cx.coordinator.attempt_ended(cx.now, request, evidence);
+        cx.coordinator.attempt_ended(cx.now, request, outcome);
         if refusal.verdict == Verdict::NotRun {
-            self.try_elsewhere(cx, request, refusal.reason);
+            self.retry_elsewhere(cx, request, refusal.reason);
         } else {
             self.may_have_run(cx, request, refusal.reason);
         }
@@ -539,16 +539,16 @@
     }
 
     /// Runs requests that wait, as far as slots are free.
-    pub fn start_queued(&mut self, cx: &mut RequestCx<'_>) {
+    pub fn start_queued(&mut self, cx: &mut RequestContext<'_>) {
         for (request, target) in cx.coordinator.start_queued(cx.now, cx.lease_state, cx.invariant_counters) {
             self.execute(cx, request, target);
         }
     }
 
     /// Goes on with requests that waited for targets which this instance no longer keeps.
-    pub fn stranded(&mut self, cx: &mut RequestCx<'_>, requests: Vec<RequestId>) {
+    pub fn retry_after_target_move(&mut self, cx: &mut RequestContext<'_>, requests: Vec<RequestId>) {
         for request in requests {
-            self.try_elsewhere(cx, request, Reason::NoTarget);
+            self.retry_elsewhere(cx, request, Reason::NoTarget);
         }
     }
 
@@ -557,29 +557,29 @@
     ///
     /// A request given up still gets its reply, although nobody waits for it: whoever holds the request lets it go then,
     /// and would keep it for ever otherwise.
-    pub fn caller_gone(&mut self, cx: &mut RequestCx<'_>, request: RequestId) {
+    pub fn caller_gone(&mut self, cx: &mut RequestContext<'_>, request: RequestId) {
         if !self.entries.get(&request).is_some_and(|entry| entry.idempotent) {
             return;
         }
-        let verdict = self.give_up(cx, request);
+        let verdict = self.abandon(cx, request);
         self.refuse(cx, request, verdict, Reason::CallerGone);
         self.start_queued(cx);
     }
 
     /// Ends requests whose deadline is over.
-    pub fn expire(&mut self, cx: &mut RequestCx<'_>) {
+    pub fn expire(&mut self, cx: &mut RequestContext<'_>) {
         while let Some(&(deadline, request)) = self.deadlines.first() {
             if deadline > cx.now {
                 break;
             }
-            let verdict = self.give_up(cx, request);
+            let verdict = self.abandon(cx, request);
             self.refuse(cx, request, verdict, Reason::DeadlineExceeded);
         }
         self.start_queued(cx);
     }
 
     /// Takes a request away from wherever it is; returns whether it may have run there.
-    fn give_up(&mut self, cx: &mut RequestCx<'_>, request: RequestId) -> Verdict {
+    fn abandon(&mut self, cx: &mut RequestContext<'_>, request: RequestId) -> Verdict {
         let Some(entry) = self.entries.get(&request) else { return Verdict::NotRun };
         match entry.stage {
             Stage::New | Stage::Fenced { with_ticket: false } => Verdict::NotRun,
@@ -588,8 +588,8 @@
                 cx.coordinator.remove_queued(request);
                 Verdict::NotRun
             }
-            Stage::Waiting => {
-                cx.tickets.stop_waiting(request);
+            Stage::AwaitingSameTicket => {
+                cx.tickets.remove_waiter(request);
                 Verdict::MayHaveRun
             }
             Stage::AtIssuer => {
@@ -597,7 +597,7 @@
                 Verdict::MayHaveRun
             }
             Stage::AtCoordinator(coordinator) => {
-                self.routing.ended(cx.now, coordinator, entry.group, None);
+                self.selector.request_ended(cx.now, coordinator, entry.group, None);
                 cx.out.push(Output::Cancel { request });
                 Verdict::MayHaveRun
             }
@@ -610,15 +610,15 @@
     }
 }
 
-impl Entry {
-    fn pass_head(&self, now: Timestamp, purpose: PassPurpose) -> ForwardedRequestHeader {
-        let time_left = self.deadline.saturating_sub(now).saturating_sub(HOP_MARGIN);
+impl RequestEntry {
+    fn forwarded_header(&self, now: Timestamp, purpose: ForwardedRequestPurpose) -> ForwardedRequestHeader {
+        let time_left = self.deadline.saturating_sub(now).saturating_sub(HOP_TIMEOUT_MARGIN);
         ForwardedRequestHeader { service: self.service, purpose, idempotent: self.idempotent, time_left }
     }
 }
 
 /// Tells whether a ticket names this life of this instance.
-fn is_own(text: &str, members: &Membership) -> bool {
+fn is_issued_here(text: &str, members: &Membership) -> bool {
     let me = members.me();
     Ticket::parse(text).is_ok_and(|ticket| ticket.issuer == me.id && ticket.incarnation == me.incarnation)
 }
--- a/crates/core/src/requests/outcome.rs
+++ b/crates/core/src/requests/outcome.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-use super::Entry;
-use super::Part;
-use super::RequestCx;
+use super::RequestContext;
+use super::RequestEntry;
 use super::Requests;
+use super::Role;
 use crate::catalog::GroupId;
 use crate::event::AnswerId;
 use crate::event::Notice;
@@ -24,13 +24,13 @@
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl Requests {
-    pub(super) fn remove(&mut self, request: RequestId) -> Option<Entry> {
+    pub(super) fn remove(&mut self, request: RequestId) -> Option<RequestEntry> {
         let entry = self.entries.remove(&request)?;
         self.deadlines.remove(&(entry.deadline, request));
         Some(entry)
     }
 
-    pub(super) fn drop_late(&mut self, cx: &mut RequestCx<'_>, answer: Option<StoredAnswer>) {
+    pub(super) fn discard_late_answer(&mut self, cx: &mut RequestContext<'_>, answer: Option<StoredAnswer>) {
         if let Some(answer) = answer {
             self.counts.late_answers += 1;
             cx.out.push(Output::ReleaseAnswer { answer: answer.id });
@@ -38,50 +38,56 @@
     }
 
     /// Ends a request, and all that wait for the same ticket, with an answer.
-    pub(super) fn answer(&mut self, cx: &mut RequestCx<'_>, request: RequestId, answer: StoredAnswer) {
+    pub(super) fn answer(&mut self, cx: &mut RequestContext<'_>, request: RequestId, answer: StoredAnswer) {
         let Some(entry) = self.remove(request) else { return };
         self.reply_answer(cx, request, &entry, answer.id);
         let Some(serial) = entry.serial else {
             cx.out.push(Output::ReleaseAnswer { answer: answer.id });
             return;
         };
-        let settlement = cx.tickets.finish_run(serial, RunOutcome::Answered(answer), cx.invariant_counters);
-        for waiter in settlement.waiting {
-            self.answer_kept(cx, waiter, answer.id);
+        let finished_run = cx.tickets.finish_run(serial, RunOutcome::Answered(answer), cx.invariant_counters);
+        for waiter in finished_run.waiting {
+            self.reply_stored_answer(cx, waiter, answer.id);
         }
-        cx.out.extend(settlement.dropped.into_iter().map(|answer| Output::ReleaseAnswer { answer }));
+        cx.out.extend(finished_run.dropped.into_iter().map(|answer| Output::ReleaseAnswer { answer }));
     }
 
     /// Ends a request with an answer that is kept under its ticket.
-    pub(super) fn answer_kept(&mut self, cx: &mut RequestCx<'_>, request: RequestId, answer: AnswerId) {
+    pub(super) fn reply_stored_answer(&mut self, cx: &mut RequestContext<'_>, request: RequestId, answer: AnswerId) {
         if let Some(entry) = self.remove(request) {
             self.reply_answer(cx, request, &entry, answer);
         }
     }
 
-    pub(super) fn reply_answer(&mut self, cx: &mut RequestCx<'_>, request: RequestId, entry: &Entry, answer: AnswerId) {
+    pub(super) fn reply_answer(
+        &mut self,
+        cx: &mut RequestContext<'_>,
+        request: RequestId,
+        entry: &RequestEntry,
+        answer: AnswerId,
+    ) {
         self.counts.answered += 1;
-        let ticket = next_ticket(cx, entry.part, entry.service, entry.idempotent);
-        let free = free_for(cx, entry.part, entry.group);
+        let ticket = next_ticket(cx, entry.role, entry.service, entry.idempotent);
+        let free = free_slots_hint(cx, entry.role, entry.group);
         cx.out.push(Output::Reply { request, reply: Reply::Answer { answer, ticket, free } });
     }
 
     /// Ends a request, and all that wait for the same ticket, without an answer.
-    pub(super) fn refuse(&mut self, cx: &mut RequestCx<'_>, request: RequestId, verdict: Verdict, reason: Reason) {
+    pub(super) fn refuse(&mut self, cx: &mut RequestContext<'_>, request: RequestId, verdict: Verdict, reason: Reason) {
         let Some(entry) = self.remove(request) else { return };
-        let verdict = verdict.max(entry.worst);
+        let verdict = verdict.max(entry.worst_verdict);
         if verdict == Verdict::NotRun {
-            cx.invariant_counters.assert(!entry.exposed, Invariant::NotRunIsTrue);
+            cx.invariant_counters.assert(!entry.may_be_running, Invariant::NotRunIsTrue);
         }
         let refusal = Refusal { verdict, reason };
-        if verdict == Verdict::MayHaveRun && !entry.idempotent && entry.part != Part::Coordinator {
+        if verdict == Verdict::MayHaveRun && !entry.idempotent && entry.role != Role::Coordinator {
             cx.out.push(Output::Notice(Notice::OutcomeUnknown { service: entry.service, reason }));
         }
         self.reply_refusal_for(cx, request, &entry, refusal);
         let Some(serial) = entry.serial else { return };
         let end = if verdict == Verdict::NotRun { RunOutcome::NotRun } else { RunOutcome::Unknown(refusal) };
-        let settlement = cx.tickets.finish_run(serial, end, cx.invariant_counters);
-        for waiter in settlement.waiting {
+        let finished_run = cx.tickets.finish_run(serial, end, cx.invariant_counters);
+        for waiter in finished_run.waiting {
             if let Some(entry) = self.remove(waiter) {
                 self.reply_refusal_for(cx, waiter, &entry, refusal);
             }
@@ -90,19 +96,19 @@
 
     pub(super) fn reply_refusal_for(
         &mut self,
-        cx: &mut RequestCx<'_>,
+        cx: &mut RequestContext<'_>,
         request: RequestId,
-        entry: &Entry,
+        entry: &RequestEntry,
         refusal: Refusal,
     ) {
-        self.reply_refusal(cx, request, entry.part, entry.service, refusal);
+        self.reply_refusal(cx, request, entry.role, entry.service, refusal);
     }
 
     pub(super) fn reply_refusal(
         &mut self,
-        cx: &mut RequestCx<'_>,
+        cx: &mut RequestContext<'_>,
         request: RequestId,
-        part: Part,
+        role: Role,
         service: ServiceId,
         refusal: Refusal,
     ) {
@@ -110,25 +116,25 @@
             Verdict::NotRun => self.counts.not_run += 1,
             Verdict::MayHaveRun | Verdict::Answered => self.counts.may_have_run += 1,
         }
-        let wants_ticket =
+        let needs_ticket =
             matches!(refusal.reason, Reason::TicketRequired | Reason::TicketInvalid | Reason::TicketExpired);
-        let ticket = if wants_ticket { next_ticket(cx, part, service, false) } else { None };
+        let ticket = if needs_ticket { next_ticket(cx, role, service, false) } else { None };
         let group = cx.view.catalog().service(service).map(|service| service.group_id);
-        let free = group.and_then(|group| free_for(cx, part, group));
-        let retry_after = is_passing(refusal.reason).then_some(RETRY_AFTER);
+        let free = group.and_then(|group| free_slots_hint(cx, role, group));
+        let retry_after = is_transient(refusal.reason).then_some(RETRY_AFTER);
         let reply = Reply::Refuse { refusal, ticket, retry_after, free };
         cx.out.push(Output::Reply { request, reply });
     }
 }
 
 /// Issues a ticket for the caller's next non-idempotent request; only where the caller is answered from.
-fn next_ticket(cx: &mut RequestCx<'_>, part: Part, service: ServiceId, idempotent: bool) -> Option<String> {
-    let to_caller = matches!(part, Part::Owner | Part::Entry);
-    (to_caller && !idempotent && !cx.closed).then(|| cx.tickets.issue(cx.now, service))
+fn next_ticket(cx: &mut RequestContext<'_>, role: Role, service: ServiceId, idempotent: bool) -> Option<String> {
+    let to_caller = matches!(role, Role::Owner | Role::Ingress);
+    (to_caller && !idempotent && !cx.issuer_closed).then(|| cx.tickets.issue(cx.now, service))
 }
 
 /// Tells whether what a request was refused for is likely to pass soon.
-fn is_passing(reason: Reason) -> bool {
+fn is_transient(reason: Reason) -> bool {
     matches!(
         reason,
         Reason::Overloaded
@@ -141,6 +147,6 @@
 }
 
 /// Returns what a keeper tells the owner of a request about its free slots.
-fn free_for(cx: &RequestCx<'_>, part: Part, group: GroupId) -> Option<u32> {
-    (part == Part::Coordinator).then(|| cx.coordinator.spare_slots(cx.now, group, cx.lease_state))
+fn free_slots_hint(cx: &RequestContext<'_>, role: Role, group: GroupId) -> Option<u32> {
+    (role == Role::Coordinator).then(|| cx.coordinator.spare_slots(cx.now, group, cx.lease_state))
 }
--- a/crates/core/src/requests/routing.rs
+++ b/crates/core/src/requests/routing.rs
@@ -17,46 +17,50 @@
 use hawthornshift_model::InstanceId;
 
 /// Age at which a keeper's word of its free slots no longer counts.
-const HINT_LIFE: Duration = Duration::from_millis(500);
+const FREE_SLOTS_HINT_LIFETIME: Duration = Duration::from_millis(500);
 
 /// An instance that keeps targets of a group.
 #[derive(Clone, Copy, Debug)]
-struct Candidate {
+struct CandidateCoordinator {
     id: InstanceId,
     domain: DomainIndex,
     slots: u32,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Hint {
+struct FreeSlotsHint {
     free: u32,
     at: Timestamp,
 }
 
 /// Who keeps what, and what is known of their free slots.
 #[derive(Clone, Debug, Default)]
-pub struct Routing {
-    keepers: BTreeMap<GroupId, Vec<Candidate>>,
-    hints: BTreeMap<(InstanceId, GroupId), Hint>,
+pub struct CoordinatorSelector {
+    coordinators: BTreeMap<GroupId, Vec<CandidateCoordinator>>,
+    free_slots_hints: BTreeMap<(InstanceId, GroupId), FreeSlotsHint>,
     outstanding: BTreeMap<(InstanceId, GroupId), u32>,
     own_domain: Option<DomainIndex>,
 }
 
-impl Routing {
+impl CoordinatorSelector {
     /// Works out who keeps what under a view.
     pub fn view_changed(&mut self, view: &View, own_domain: &str) {
         let catalog = view.catalog();
         self.own_domain = catalog.domain_index(own_domain);
-        self.keepers.clear();
+        self.coordinators.clear();
         for target in catalog.targets().filter(|target| !target.leaving) {
             let Some(coordinator) = view.coordinator(target.id) else { continue };
-            let candidates = self.keepers.entry(target.group_id).or_default();
+            let candidates = self.coordinators.entry(target.group_id).or_default();
             match candidates
                 .iter_mut()
                 .find(|candidate| candidate.id == coordinator && candidate.domain == target.domain)
             {
                 Some(candidate) => candidate.slots += target.slots,
-                None => candidates.push(Candidate { id: coordinator, domain: target.domain, slots: target.slots }),
+                None => candidates.push(CandidateCoordinator {
+                    id: coordinator,
+                    domain: target.domain,
+                    slots: target.slots,
+                }),
             }
         }
     }
@@ -66,39 +70,44 @@
         &self,
         now: Timestamp,
         group: GroupId,
-        tried: &[InstanceId],
+        tried_coordinators: &[InstanceId],
         me: InstanceId,
         spare: u32,
         rng: &mut SmallRng,
     ) -> Option<InstanceId> {
-        let candidates = self.keepers.get(&group)?.iter().filter(|candidate| !tried.contains(&candidate.id));
+        let candidates =
+            self.coordinators.get(&group)?.iter().filter(|candidate| !tried_coordinators.contains(&candidate.id));
         let ranked = candidates.map(|candidate| {
-            let credit = if candidate.id == me { i64::from(spare) } else { self.credit(now, group, candidate) };
-            let near = credit > 0 && Some(candidate.domain) == self.own_domain;
-            ((near, credit, rng.random::<u32>()), candidate.id)
+            let free_slots_estimate =
+                if candidate.id == me { i64::from(spare) } else { self.free_slots_estimate(now, group, candidate) };
+            let in_own_domain = free_slots_estimate > 0 && Some(candidate.domain) == self.own_domain;
+            ((in_own_domain, free_slots_estimate, rng.random::<u32>()), candidate.id)
         });
         ranked.max_by_key(|(rank, _)| *rank).map(|(_, id)| id)
     }
 
-    fn credit(&self, now: Timestamp, group: GroupId, candidate: &Candidate) -> i64 {
+    fn free_slots_estimate(&self, now: Timestamp, group: GroupId, candidate: &CandidateCoordinator) -> i64 {
         let key = (candidate.id, group);
-        let hint = self.hints.get(&key).filter(|hint| now.saturating_sub(hint.at) < HINT_LIFE);
-        let free = hint.map_or(candidate.slots, |hint| hint.free);
+        let latest_hint = self
+            .free_slots_hints
+            .get(&key)
+            .filter(|latest_hint| now.saturating_sub(latest_hint.at) < FREE_SLOTS_HINT_LIFETIME);
+        let free = latest_hint.map_or(candidate.slots, |latest_hint| latest_hint.free);
         i64::from(free) - i64::from(self.outstanding.get(&key).copied().unwrap_or(0))
     }
 
     /// Notes that a request was passed to a keeper.
-    pub fn passed(&mut self, coordinator: InstanceId, group: GroupId) {
+    pub fn request_forwarded(&mut self, coordinator: InstanceId, group: GroupId) {
         *self.outstanding.entry((coordinator, group)).or_default() += 1;
     }
 
     /// Notes that a keeper has ended a passed request, and what it said of its free slots.
-    pub fn ended(&mut self, now: Timestamp, coordinator: InstanceId, group: GroupId, free: Option<u32>) {
+    pub fn request_ended(&mut self, now: Timestamp, coordinator: InstanceId, group: GroupId, free: Option<u32>) {
         if let Some(count) = self.outstanding.get_mut(&(coordinator, group)) {
             *count = count.saturating_sub(1);
         }
         if let Some(free) = free {
-            self.hints.insert((coordinator, group), Hint { free, at: now });
+            self.free_slots_hints.insert((coordinator, group), FreeSlotsHint { free, at: now });
         }
     }
 }
--- a/crates/core/src/tickets.rs
+++ b/crates/core/src/tickets.rs
@@ -41,9 +41,9 @@
 /// Most redemptions remembered; beyond it new ones are refused as "not run".
 const MAX_REDEMPTIONS: usize = 200_000;
 /// Issuers whose last word is remembered.
-const MAX_CLOSED: usize = 1_024;
+const MAX_FINAL_REPORTS: usize = 1_024;
 /// Hexadecimal digits of the keyed hash in a ticket.
-const SIGNATURE_DIGITS: usize = 32;
+const SIGNATURE_HEX_DIGITS: usize = 32;
 /// Longest ticket in bytes that is looked at.
 const MAX_TICKET_BYTES: usize = 160;
 
@@ -62,8 +62,8 @@
 
 /// A text that is not a ticket.
 #[derive(Debug, Error, Eq, PartialEq)]
-#[error("not a ticket")]
-pub struct NotATicket;
+#[error("malformed ticket")]
+pub struct MalformedTicket;
 
 impl Ticket {
     /// Reads what a ticket says in plain; only the issuer can tell whether it is genuine.
@@ -71,40 +71,40 @@
     /// # Errors
     ///
     /// Fails on a text of another shape.
-    pub fn parse(text: &str) -> Result<Self, NotATicket> {
-        let (ticket, _) = Self::split(text)?;
+    pub fn parse(text: &str) -> Result<Self, MalformedTicket> {
+        let (ticket, _) = Self::parse_parts(text)?;
         Ok(ticket)
     }
 
-    fn split(text: &str) -> Result<(Self, &str), NotATicket> {
+    fn parse_parts(text: &str) -> Result<(Self, &str), MalformedTicket> {
         if text.len() > MAX_TICKET_BYTES {
-            return Err(NotATicket);
+            return Err(MalformedTicket);
         }
-        let parts: Vec<&str> = text.split('.').collect();
-        let [issuer, incarnation, issued_ms, serial, signature] = parts[..] else {
-            return Err(NotATicket);
+        let fields: Vec<&str> = text.split('.').collect();
+        let [issuer, incarnation, issued_ms, serial, signature] = fields[..] else {
+            return Err(MalformedTicket);
         };
         let ticket = Self {
-            issuer: InstanceId::from_str_radix(issuer, 16).map_err(|_| NotATicket)?,
-            incarnation: number(incarnation)?,
-            issued_ms: number(issued_ms)?,
-            serial: number(serial)?,
+            issuer: InstanceId::from_str_radix(issuer, 16).map_err(|_| MalformedTicket)?,
+            incarnation: parse_hex(incarnation)?,
+            issued_ms: parse_hex(issued_ms)?,
+            serial: parse_hex(serial)?,
         };
         Ok((ticket, signature))
     }
 
-    fn plain(&self) -> String {
+    fn payload(&self) -> String {
         format!("{:x}.{:x}.{:x}.{:x}", self.issuer, self.incarnation, self.issued_ms, self.serial)
     }
 }
 
-fn number(text: &str) -> Result<u64, NotATicket> {
-    u64::from_str_radix(text, 16).map_err(|_| NotATicket)
+fn parse_hex(text: &str) -> Result<u64, MalformedTicket> {
+    u64::from_str_radix(text, 16).map_err(|_| MalformedTicket)
 }
 
 /// How a redemption stands.
 #[derive(Clone, Debug)]
-enum State {
+enum RedemptionState {
     /// The request runs; these others wait for the same answer.
     Running { waiting: Vec<RequestId> },
     /// The answer is kept.
@@ -117,8 +117,8 @@
 
 #[derive(Clone, Debug)]
 struct Redemption {
-    state: State,
-    forget_at: Timestamp,
+    state: RedemptionState,
+    remove_at: Timestamp,
 }
 
 /// What becomes of a ticket that is presented to its issuer.
@@ -159,7 +159,7 @@
 
 /// How an answered or failed run leaves its redemption.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct Settlement {
+pub struct FinishedRun {
     /// Requests that waited for the same outcome.
     pub waiting: Vec<RequestId>,
     /// Answers dropped to stay within the budget.
@@ -179,7 +179,7 @@
 
 /// The last word of an issuer that has stopped.
 #[derive(Clone, Debug)]
-struct Closed {
+struct FinalReport {
     known_since_ms: u64,
     redeemed: Set<Serial>,
 }
@@ -190,41 +190,47 @@
     me: InstanceId,
     incarnation: Incarnation,
     key: [u8; KEY_BYTES],
-    life: Duration,
-    budget: usize,
+    lifetime: Duration,
+    max_answer_bytes: usize,
     next_serial: Serial,
     redemptions: Map<Serial, Redemption>,
     /// Answers kept, the oldest first.
     answers: VecDeque<(Serial, usize)>,
     answer_bytes: usize,
     expiry: VecDeque<(Timestamp, Serial)>,
-    closed: BTreeMap<(InstanceId, Incarnation), Closed>,
+    final_reports: BTreeMap<(InstanceId, Incarnation), FinalReport>,
     is_closed: bool,
 }
 
 impl Tickets {
     /// Starts without a ticket; `key` must be random, and unknown to anyone else.
     #[must_use]
-    pub fn new(me: InstanceId, incarnation: Incarnation, key: [u8; KEY_BYTES], life: Duration, budget: usize) -> Self {
+    pub fn new(
+        me: InstanceId,
+        incarnation: Incarnation,
+        key: [u8; KEY_BYTES],
+        lifetime: Duration,
+        max_answer_bytes: usize,
+    ) -> Self {
         Self {
             me,
             incarnation,
             key,
-            life,
-            budget,
+            lifetime,
+            max_answer_bytes,
             next_serial: 1,
             redemptions: Map::default(),
             answers: VecDeque::new(),
             answer_bytes: 0,
             expiry: VecDeque::new(),
-            closed: BTreeMap::new(),
+            final_reports: BTreeMap::new(),
             is_closed: false,
         }
     }
 
     /// Returns the redemptions remembered.
     #[must_use]
-    pub fn remembered(&self) -> usize {
+    pub fn redemption_count(&self) -> usize {
         self.redemptions.len()
     }
 
@@ -243,40 +249,40 @@
             serial: self.next_serial,
         };
         self.next_serial += 1;
-        let plain = ticket.plain();
-        let signature = self.sign(&plain, service);
-        format!("{plain}.{}", &signature.to_hex()[..SIGNATURE_DIGITS])
+        let payload = ticket.payload();
+        let signature = self.sign(&payload, service);
+        format!("{payload}.{}", &signature.to_hex()[..SIGNATURE_HEX_DIGITS])
     }
 
-    fn sign(&self, plain: &str, service: ServiceId) -> blake3::Hash {
+    fn sign(&self, payload: &str, service: ServiceId) -> blake3::Hash {
         let mut hasher = blake3::Hasher::new_keyed(&self.key);
         hasher.update(&service.to_le_bytes());
-        hasher.update(plain.as_bytes());
+        hasher.update(payload.as_bytes());
         hasher.finalize()
     }
 
     /// Takes a ticket that names this life of this instance, and says what to do.
     pub fn present(&mut self, now: Timestamp, text: &str, service: ServiceId, waiter: RequestId) -> PresentOutcome {
-        let Ok((ticket, signature)) = Ticket::split(text) else { return PresentOutcome::Invalid };
+        let Ok((ticket, signature)) = Ticket::parse_parts(text) else { return PresentOutcome::Invalid };
         if !self.is_genuine(&ticket, signature, service) {
             return PresentOutcome::Invalid;
         }
         if let Some(redemption) = self.redemptions.get_mut(&ticket.serial) {
             return match &mut redemption.state {
-                State::Running { waiting } => {
+                RedemptionState::Running { waiting } => {
                     waiting.push(waiter);
                     PresentOutcome::Wait
                 }
-                State::Answered(answer) => PresentOutcome::Answer(answer.id),
-                State::AnswerDropped => PresentOutcome::AnswerGone,
-                State::Unknown(refusal) => PresentOutcome::Unknown(*refusal),
+                RedemptionState::Answered(answer) => PresentOutcome::Answer(answer.id),
+                RedemptionState::AnswerDropped => PresentOutcome::AnswerGone,
+                RedemptionState::Unknown(refusal) => PresentOutcome::Unknown(*refusal),
             };
         }
         let age = now.saturating_sub(Duration::from_millis(ticket.issued_ms));
-        if age >= self.life * 2 {
+        if age >= self.lifetime * 2 {
             return PresentOutcome::Forgotten;
         }
-        if age >= self.life {
+        if age >= self.lifetime {
             return PresentOutcome::Expired;
         }
         if self.is_closed {
@@ -285,74 +291,74 @@
         if self.redemptions.len() >= MAX_REDEMPTIONS {
             return PresentOutcome::Full;
         }
-        self.redeem(now, ticket.serial);
+        self.record_redemption(now, ticket.serial);
         PresentOutcome::Run(ticket.serial)
     }
 
     fn is_genuine(&self, ticket: &Ticket, signature: &str, service: ServiceId) -> bool {
         let ours = ticket.issuer == self.me && ticket.incarnation == self.incarnation;
-        let expected = self.sign(&ticket.plain(), service).to_hex();
+        let expected = self.sign(&ticket.payload(), service).to_hex();
         // Hashes are compared in constant time, so that a signature cannot be guessed digit by digit.
         let digest = |text: &str| blake3::hash(text.as_bytes());
-        ours && ticket.serial < self.next_serial && digest(signature) == digest(&expected[..SIGNATURE_DIGITS])
+        ours && ticket.serial < self.next_serial && digest(signature) == digest(&expected[..SIGNATURE_HEX_DIGITS])
     }
 
-    fn redeem(&mut self, now: Timestamp, serial: Serial) {
+    fn record_redemption(&mut self, now: Timestamp, serial: Serial) {
         // Kept for twice the life from now, which is later than twice the life from issue.
-        let forget_at = now + self.life * 2;
-        let redemption = Redemption { state: State::Running { waiting: Vec::new() }, forget_at };
+        let remove_at = now + self.lifetime * 2;
+        let redemption = Redemption { state: RedemptionState::Running { waiting: Vec::new() }, remove_at };
         self.redemptions.insert(serial, redemption);
-        self.expiry.push_back((forget_at, serial));
+        self.expiry.push_back((remove_at, serial));
     }
 
     /// Notes how the run of a redeemed ticket ended.
     pub fn finish_run(
         &mut self,
         serial: Serial,
-        end: RunOutcome,
+        outcome: RunOutcome,
         invariant_counters: &mut InvariantCounters,
-    ) -> Settlement {
-        let Some(redemption) = self.redemptions.get_mut(&serial) else { return Settlement::default() };
-        let state = match end {
-            RunOutcome::Answered(answer) => State::Answered(answer),
-            RunOutcome::Unknown(refusal) => State::Unknown(refusal),
-            RunOutcome::NotRun => State::Running { waiting: Vec::new() },
+    ) -> FinishedRun {
+        let Some(redemption) = self.redemptions.get_mut(&serial) else { return FinishedRun::default() };
+        let state = match outcome {
+            RunOutcome::Answered(answer) => RedemptionState::Answered(answer),
+            RunOutcome::Unknown(refusal) => RedemptionState::Unknown(refusal),
+            RunOutcome::NotRun => RedemptionState::Running { waiting: Vec::new() },
         };
         let former = std::mem::replace(&mut redemption.state, state);
-        let State::Running { waiting } = former else {
+        let RedemptionState::Running { waiting } = former else {
             // A second end of one ticket means that it ran twice.
             invariant_counters.assert(false, Invariant::TicketRunsOnce);
-            return Settlement::default();
+            return FinishedRun::default();
         };
-        if end == RunOutcome::NotRun {
+        if outcome == RunOutcome::NotRun {
             self.redemptions.remove(&serial);
         }
-        if let RunOutcome::Answered(answer) = end {
+        if let RunOutcome::Answered(answer) = outcome {
             self.answers.push_back((serial, answer.size));
             self.answer_bytes += answer.size;
         }
-        Settlement { waiting, dropped: self.shrink() }
+        FinishedRun { waiting, dropped: self.evict_answers() }
     }
 
     /// Drops the oldest answers until the rest fit the budget.
-    fn shrink(&mut self) -> Vec<AnswerId> {
+    fn evict_answers(&mut self) -> Vec<AnswerId> {
         let mut dropped = Vec::new();
-        while self.answer_bytes > self.budget {
+        while self.answer_bytes > self.max_answer_bytes {
             let Some((serial, size)) = self.answers.pop_front() else { break };
             self.answer_bytes -= size;
             let Some(redemption) = self.redemptions.get_mut(&serial) else { continue };
-            if let State::Answered(answer) = redemption.state {
+            if let RedemptionState::Answered(answer) = redemption.state {
                 dropped.push(answer.id);
-                redemption.state = State::AnswerDropped;
+                redemption.state = RedemptionState::AnswerDropped;
             }
         }
         dropped
     }
 
     /// Takes a request off the list of those that wait for an answer.
-    pub fn stop_waiting(&mut self, request: RequestId) {
+    pub fn remove_waiter(&mut self, request: RequestId) {
         for redemption in self.redemptions.values_mut() {
-            if let State::Running { waiting } = &mut redemption.state {
+            if let RedemptionState::Running { waiting } = &mut redemption.state {
                 waiting.retain(|waiter| *waiter != request);
             }
         }
@@ -362,19 +368,20 @@
     pub fn expire(&mut self, now: Timestamp) -> Vec<AnswerId> {
         let mut dropped = Vec::new();
         while let Some((_, serial)) = self.expiry.pop_front_if(|(at, _)| *at <= now) {
-            let due = self.redemptions.get(&serial).is_some_and(|redemption| redemption.forget_at <= now);
-            let running = matches!(
+            let is_due = self.redemptions.get(&serial).is_some_and(|redemption| redemption.remove_at <= now);
+            let is_running = matches!(
                 self.redemptions.get(&serial).map(|redemption| &redemption.state),
-                Some(State::Running { .. })
+                Some(RedemptionState::Running { .. })
             );
-            if running {
-                self.expiry.push_back((now + self.life, serial));
+            if is_running {
+                self.expiry.push_back((now + self.lifetime, serial));
                 break;
             }
-            if !due {
+            if !is_due {
                 continue;
             }
-            if let Some(Redemption { state: State::Answered(answer), .. }) = self.redemptions.remove(&serial) {
+            if let Some(Redemption { state: RedemptionState::Answered(answer), .. }) = self.redemptions.remove(&serial)
+            {
                 dropped.push(answer.id);
                 self.answer_bytes = self.answer_bytes.saturating_sub(answer.size);
                 self.answers.retain(|(kept, _)| *kept != serial);
@@ -389,11 +396,11 @@
     }
 
     /// Returns the last words of other issuers, as the messages that pass them on.
-    pub fn last_words(&self) -> impl Iterator<Item = PeerMessage> {
-        self.closed.iter().map(|((issuer, incarnation), closed)| {
-            let mut redeemed: Vec<Serial> = closed.redeemed.iter().copied().collect();
+    pub fn final_reports(&self) -> impl Iterator<Item = PeerMessage> {
+        self.final_reports.iter().map(|((issuer, incarnation), report)| {
+            let mut redeemed: Vec<Serial> = report.redeemed.iter().copied().collect();
             redeemed.sort_unstable();
-            let (issuer, incarnation, known_since_ms) = (*issuer, *incarnation, closed.known_since_ms);
+            let (issuer, incarnation, known_since_ms) = (*issuer, *incarnation, report.known_since_ms);
             PeerMessage::IssuerClosed { issuer, incarnation, known_since_ms, redeemed }
         })
     }
@@ -409,7 +416,7 @@
     /// Returns the issue time, in milliseconds of this instance's clock, from which on every redemption is remembered.
     #[must_use]
     pub fn known_since_ms(&self, now: Timestamp) -> u64 {
-        u64::try_from(now.saturating_sub(self.life * 2).as_millis()).unwrap_or(u64::MAX)
+        u64::try_from(now.saturating_sub(self.lifetime * 2).as_millis()).unwrap_or(u64::MAX)
     }
 
     /// Notes the last word of an issuer that has stopped.
@@ -420,21 +427,21 @@
         known_since_ms: u64,
         redeemed: &[Serial],
     ) {
-        while self.closed.len() >= MAX_CLOSED {
-            self.closed.pop_first();
+        while self.final_reports.len() >= MAX_FINAL_REPORTS {
+            self.final_reports.pop_first();
         }
-        let closed = Closed { known_since_ms, redeemed: redeemed.iter().copied().collect() };
-        self.closed.insert((issuer, incarnation), closed);
+        let report = FinalReport { known_since_ms, redeemed: redeemed.iter().copied().collect() };
+        self.final_reports.insert((issuer, incarnation), report);
     }
 
     /// Returns what is known of a ticket whose issuer has stopped.
     #[must_use]
     pub fn closed_issuer_status(&self, ticket: &Ticket) -> ClosedIssuerStatus {
-        match self.closed.get(&(ticket.issuer, ticket.incarnation)) {
+        match self.final_reports.get(&(ticket.issuer, ticket.incarnation)) {
             None => ClosedIssuerStatus::Unknown,
-            Some(closed) if closed.redeemed.contains(&ticket.serial) => ClosedIssuerStatus::Redeemed,
+            Some(report) if report.redeemed.contains(&ticket.serial) => ClosedIssuerStatus::Redeemed,
             // So old that its redemption, if there was one, had been forgotten when the issuer stopped.
-            Some(closed) if ticket.issued_ms < closed.known_since_ms => ClosedIssuerStatus::Unknown,
+            Some(report) if ticket.issued_ms < report.known_since_ms => ClosedIssuerStatus::Unknown,
             Some(_) => ClosedIssuerStatus::NeverRedeemed,
         }
     }
