--- a/crates/core/src/attempt.rs
+++ b/crates/core/src/attempt.rs
@@ -1,9 +1,9 @@
-//! One try of a request at a target, as a life cycle that the compiler checks.
+//! One attempt to run a request at a target, as a typestate checked by the compiler.
 //!
-//! "Not run" is the one verdict that a caller acts on without a second thought, so it must never be said by mistake.
-//! An [`Attempt<Unsent>`] can say it, since no byte has left. Once [`Attempt::send`] has consumed it, only
-//! [`Attempt<Sent>`] is left, whose failures are "may have run"; of that state only the target's own refusal is
-//! "not run".
+//! A caller resends a request on the verdict "not run" without further checks, so that verdict must never be wrong. An
+//! [`Attempt<Unsent>`] fails as "not run", since no byte of the request has been sent. [`Attempt::send`] consumes it
+//! and returns an [`Attempt<Sent>`], whose failures are "may have run"; in that state only an explicit refusal by the
+//! target is "not run".
 
 use std::marker::PhantomData;
 
@@ -15,15 +15,15 @@
 use crate::message::Refusal;
 use hawthornshift_model::Verdict;
 
-/// No byte of the request has left.
+/// State of an attempt of which no byte has been sent.
 #[derive(Debug)]
 pub enum Unsent {}
 
-/// The first byte may have left.
+/// State of an attempt of which bytes may have been sent.
 #[derive(Debug)]
 pub enum Sent {}
 
-/// One try of a request at a target.
+/// One attempt to run a request at a target.
 #[derive(Debug)]
 #[must_use]
 pub struct Attempt<State> {
@@ -40,17 +40,17 @@
 }
 
 impl Attempt<Unsent> {
-    /// Starts a try of which nothing has left yet.
+    /// Starts an attempt of which nothing has been sent.
     pub fn new(request: RequestId, number: AttemptNumber) -> Self {
         Self { request, number, state: PhantomData }
     }
 
-    /// Notes that the next thing that happens is a write to the target.
+    /// Records that the next action is a write to the target.
     pub fn send(self) -> Attempt<Sent> {
         Attempt { request: self.request, number: self.number, state: PhantomData }
     }
 
-    /// Gives up before anything has left.
+    /// Ends the attempt before anything was sent, with the verdict "not run".
     #[must_use]
     pub fn fail(self, reason: Reason) -> Input {
         self.refusal(Verdict::NotRun, reason)
@@ -58,19 +58,19 @@
 }
 
 impl Attempt<Sent> {
-    /// Gives up when something may have left.
+    /// Ends the attempt after bytes may have been sent, with the verdict "may have run".
     #[must_use]
     pub fn fail(self, reason: Reason) -> Input {
         self.refusal(Verdict::MayHaveRun, reason)
     }
 
-    /// The target itself said that it refused the request before running it.
+    /// Ends the attempt because the target reported that it refused the request before running it.
     #[must_use]
     pub fn refused_by_target(self) -> Input {
         self.refusal(Verdict::NotRun, Reason::RefusedByTarget)
     }
 
-    /// The whole answer has come.
+    /// Ends the attempt with the target's complete answer.
     #[must_use]
     pub fn answered(self, answer: StoredAnswer) -> Input {
         Input::TargetAnswered { request: self.request, attempt: self.number, answer }
--- a/crates/core/src/dump.rs
+++ b/crates/core/src/dump.rs
@@ -1,4 +1,4 @@
-//! The state of a node as shown to operators on request.
+//! State of a node, as reported to operators on request.
 
 use serde::Serialize;
 
@@ -10,76 +10,75 @@
 use hawthornshift_model::InstanceId;
 use hawthornshift_model::Revision;
 
-/// The state of a node.
+/// State of a node.
 #[derive(Clone, Debug, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Dump {
-    /// This instance as it presents itself.
+    /// Membership entry of this instance.
     pub me: MemberUpdate,
-    /// Where it stands in its life: `starting`, `serving`, `stopping`, `stopped` or
-    /// `superseded`.
+    /// Lifecycle phase: `starting`, `serving`, `stopping`, `stopped` or `superseded`.
     pub phase: &'static str,
-    /// Milliseconds since its start.
+    /// Time since start, in milliseconds.
     pub uptime_ms: u128,
-    /// Whether it refreshes its view before it decides anything new.
+    /// Whether the node makes no new decisions until its view is confirmed.
     pub fenced: bool,
-    /// The set in force.
+    /// The active configuration set.
     pub configuration: ConfigurationDump,
-    /// Hash of its view; equal on instances that agree.
+    /// Hash of the view; equal on instances that have the same view.
     pub view: String,
-    /// Instances that serve under its view.
+    /// Instances that are serving in this node's view.
     pub serving: Vec<InstanceId>,
-    /// What it knows of other instances.
+    /// Known state of other instances.
     pub members: Vec<MemberUpdate>,
-    /// Its flows.
+    /// Datagram flows.
     pub flows: FlowDump,
-    /// Open streams.
+    /// Number of open streams.
     pub streams: usize,
-    /// Requests by how they ended.
+    /// Counts of requests by outcome.
     pub requests: RequestCounts,
-    /// Requests under way.
+    /// Number of requests in progress.
     pub requests_under_way: usize,
-    /// Requests at targets that it keeps.
+    /// Number of requests running at targets that this instance coordinates.
     pub running: usize,
-    /// Requests that wait for a slot.
+    /// Number of requests that wait for a free slot.
     pub queued: usize,
-    /// Ticket redemptions it remembers.
+    /// Number of stored ticket redemptions.
     pub tickets_remembered: usize,
-    /// Bytes of answers it keeps for retries.
+    /// Total size of the answers stored for retries, in bytes.
     pub answer_bytes: usize,
-    /// The targets it keeps.
+    /// Targets that this instance coordinates.
     pub kept: Vec<CoordinatedTargetDump>,
-    /// Invariants that were broken; empty unless something is wrong with this program.
+    /// Violated invariants; empty unless this program has a fault.
     pub breaches: Vec<Breach>,
 }
 
-/// The set in force.
+/// The active configuration set.
 #[derive(Clone, Debug, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ConfigurationDump {
-    /// Its revision.
+    /// Revision of the set.
     pub revision: Revision,
     /// Hash of its content.
     pub digest: String,
-    /// Failure domains that are out of service.
+    /// Names of the failure domains that are out of service.
     pub out: Vec<String>,
-    /// How often two sets had one revision.
+    /// How often two sets with different content had the same revision.
     pub clashes: u64,
-    /// Sets that failed the check.
+    /// Number of sets from peers that failed validation.
     pub refused: u64,
 }
 
-/// The flows of a node.
+/// Datagram flows of a node.
 #[derive(Clone, Debug, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct FlowDump {
-    /// Flows held here.
+    /// Number of flows held by this instance.
     pub held: usize,
-    /// Flows known to be held elsewhere.
+    /// Number of flows known to be held by other instances.
     pub elsewhere: usize,
-    /// Earlier views that still matter.
+    /// Number of earlier views that may still have flows at their homes.
     pub earlier_views: usize,
-    /// Whether all flows that stay behind have been told.
+    /// Whether all flows that stay at this instance have been advertised to their homes.
     pub settled: bool,
     /// Counts since start.
     pub counts: FlowCounts,
--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -1,4 +1,4 @@
-//! The boundary of the core: what goes in and what comes out.
+//! Inputs and outputs of the core.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -22,219 +22,219 @@
 use hawthornshift_model::TargetId;
 use hawthornshift_model::Verdict;
 
-/// Number that the adapter gives to a request while this process handles it.
+/// Number that the adapter assigns to a request while this process handles it.
 pub type RequestId = u64;
 
-/// Number that the adapter gives to an answer while it keeps it.
+/// Number that the adapter assigns to a stored answer.
 pub type AnswerId = u64;
 
-/// Number that the adapter gives to a stream while this process relays it.
+/// Number that the adapter assigns to a stream while this process proxies it.
 pub type StreamId = u64;
 
-/// Number of a try of one request at a target.
+/// Number of an attempt to run one request at a target.
 pub type AttemptNumber = u32;
 
-/// Local port, out of those that this instance uses towards targets, that tells one target's flows apart.
+/// Local UDP port for packets to targets; several are used so that the flows of one target can be told apart.
 pub type LocalPort = u16;
 
-/// Something that has happened.
+/// An event that the node has to process.
 #[derive(Clone, Debug)]
 pub enum Input {
     /// Time has passed; due at least every [`crate::node::TICK_PERIOD`].
     Tick,
-    /// The process was told to stop as planned.
+    /// The process has been asked to stop as planned.
     Stop,
-    /// A packet came from a caller.
+    /// A packet was received from a caller.
     CallerPacket {
-        /// The service whose address it came to.
+        /// Service at whose address it was received.
         service: ServiceId,
-        /// Who sent it.
+        /// Source address of the packet.
         caller: SocketAddr,
     },
-    /// A packet came from another instance.
+    /// A packet was received from another instance.
     ForwardedPacket(ForwardedPacketHeader),
-    /// A packet came from a target.
+    /// A packet was received from a target.
     TargetPacket {
-        /// The target's address.
+        /// Address of the target.
         target: SocketAddr,
-        /// The channel it came on.
+        /// Local port on which it was received.
         local_port: LocalPort,
     },
-    /// A message came from another instance.
+    /// A message was received from another instance.
     PeerMessage(Box<Envelope>),
-    /// An instance named in the settings has said who it is.
+    /// An instance named in the settings has returned its membership entry.
     PeerIntroduced(Box<MemberUpdate>),
     /// A message could not be delivered.
     PeerUnreachable {
-        /// Whom it was meant for.
+        /// Receiver of the message.
         to: InstanceId,
     },
-    /// The platform answered a read of the set.
+    /// The platform returned a new configuration set.
     SetRead(Arc<CheckedSet>),
-    /// The platform's set is the one already known.
+    /// The platform's configuration set is the one already known.
     SetUnchanged,
-    /// The platform answered a read of the instance list.
+    /// The platform returned a new instance list.
     InstancesRead(InstanceList),
-    /// The platform's list is the one already known.
+    /// The platform's instance list is the one already known.
     InstancesUnchanged,
-    /// A read of the platform failed or brought something unusable.
+    /// A read of the platform failed or returned unusable data.
     PlatformFailed(Resource),
-    /// A health check ended.
+    /// A health check has finished.
     Probed {
         /// The target.
         target: TargetId,
-        /// What it said, or nothing when it could not be reached.
+        /// State reported by the target; `None` if the check failed.
         report: Option<HealthReport>,
-        /// Requests that it said it runs.
+        /// Number of running requests reported by the target.
         load: Option<u32>,
     },
-    /// A request came from a caller.
+    /// A request was received from a caller.
     RequestArrived {
-        /// Its number.
+        /// Number of the request.
         request: RequestId,
         /// The service.
         service: ServiceId,
-        /// Whether running it twice does no harm.
+        /// Whether the request is idempotent, that is, may safely run twice.
         idempotent: bool,
-        /// The ticket it carries.
+        /// Ticket that the request carries.
         ticket: Option<String>,
-        /// The time its caller allows.
+        /// Timeout set by the caller.
         timeout: Option<Duration>,
     },
-    /// A request came from another instance.
+    /// A request was received from another instance.
     ForwardedRequestArrived {
-        /// Its number here.
+        /// Number of the request in this process.
         request: RequestId,
-        /// Who passed it.
+        /// Instance that forwarded it.
         from: InstanceId,
-        /// What is asked.
+        /// Header of the forwarded request.
         head: ForwardedRequestHeader,
     },
-    /// The instance that a request was passed to said how it ended.
+    /// The instance to which a request was forwarded has replied.
     ForwardedRequestEnded {
         /// The request.
         request: RequestId,
-        /// How.
+        /// Its answer or refusal.
         result: Result<StoredAnswer, Refusal>,
-        /// Slots that the other instance has free, when it keeps targets.
+        /// Number of free slots at the other instance, if it coordinates targets.
         free: Option<u32>,
     },
-    /// The instance that a request was passed to said nothing.
+    /// The instance to which a request was forwarded has not replied.
     ForwardedRequestFailed {
         /// The request.
         request: RequestId,
-        /// "Not run" only if nothing of the request has left.
+        /// "Not run" only if no byte of the request was sent.
         verdict: Verdict,
     },
-    /// A target's whole answer came.
+    /// A target's complete answer was received.
     TargetAnswered {
         /// The request.
         request: RequestId,
-        /// The try it answers.
+        /// Attempt that was answered.
         attempt: AttemptNumber,
         /// The answer.
         answer: StoredAnswer,
     },
-    /// A try at a target failed.
+    /// An attempt at a target failed.
     TargetFailed {
         /// The request.
         request: RequestId,
-        /// The try.
+        /// Attempt that failed.
         attempt: AttemptNumber,
-        /// Whether it may have run, and why it failed.
+        /// Whether the request may have run, and the reason of the failure.
         refusal: Refusal,
     },
-    /// A caller has gone before its answer.
+    /// A caller disconnected before its answer.
     CallerGone {
         /// The request.
         request: RequestId,
     },
     /// A caller opened a stream.
     StreamOpened {
-        /// Its number.
+        /// Number of the stream.
         stream: StreamId,
         /// The service.
         service: ServiceId,
-        /// Who opened it.
+        /// Address of the caller.
         caller: SocketAddr,
     },
-    /// The connection of a stream to its target was refused.
+    /// The target refused the connection of a stream.
     StreamRefused {
         /// The stream.
         stream: StreamId,
     },
-    /// A stream ended.
+    /// A stream was closed.
     StreamClosed {
         /// The stream.
         stream: StreamId,
     },
 }
 
-/// An answer that the adapter holds.
+/// An answer stored by the adapter.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct StoredAnswer {
-    /// Its number.
+    /// Number of the answer.
     pub id: AnswerId,
-    /// Its size in bytes.
+    /// Size of the answer, in bytes.
     pub size: usize,
 }
 
-/// Something to do.
+/// An action that the adapter has to perform.
 #[derive(Clone, Debug)]
 pub enum Output {
-    /// What becomes of the packet that was just put in.
+    /// How to handle the packet of the current input.
     Packet(PacketAction),
-    /// Send a message; one to the sender of the message just put in may travel as the answer to it.
+    /// Send a message. A message to the sender of the current input may be sent as the response to it.
     ToPeer {
-        /// Where to.
+        /// Destination address.
         address: SocketAddr,
-        /// What to send.
+        /// The message.
         envelope: Box<Envelope>,
     },
-    /// Read something from the platform.
+    /// Read a resource from the platform.
     ReadPlatform(PlatformRead),
     /// Check a target's health.
     Probe {
         /// The target.
         target: TargetId,
-        /// Where.
+        /// Address of the target's health endpoint.
         address: SocketAddr,
     },
-    /// Pass a request to another instance and put in how it ended.
+    /// Forward a request to another instance and report its outcome as an input.
     ForwardRequest {
         /// The request.
         request: RequestId,
-        /// To whom.
+        /// Receiving instance.
         to: InstanceId,
-        /// Where.
+        /// Address of the receiving instance.
         address: SocketAddr,
-        /// What to ask.
+        /// Header to send.
         head: ForwardedRequestHeader,
     },
-    /// Send a request to a target and put in how it ended.
+    /// Send a request to a target and report its outcome as an input.
     Execute {
         /// The request.
         request: RequestId,
-        /// The try.
+        /// Number of the attempt.
         attempt: AttemptNumber,
-        /// Where.
+        /// Address of the target.
         address: SocketAddr,
-        /// Time left.
+        /// Time left until the caller's deadline.
         time_left: Duration,
     },
-    /// Give up a try and tell the target so.
+    /// Cancel the current attempt and notify the target or instance that has the request.
     Cancel {
         /// The request.
         request: RequestId,
     },
-    /// Tell the sender of a request how it ended.
+    /// Send the outcome of a request to its sender.
     Reply {
         /// The request.
         request: RequestId,
-        /// How.
+        /// The outcome.
         reply: Reply,
     },
-    /// Drop an answer that was kept for retries.
+    /// Release a stored answer.
     ReleaseAnswer {
         /// The answer.
         answer: AnswerId,
@@ -243,7 +243,7 @@
     ConnectStream {
         /// The stream.
         stream: StreamId,
-        /// The target.
+        /// Address of the target.
         address: SocketAddr,
     },
     /// Close a stream.
@@ -251,38 +251,38 @@
         /// The stream.
         stream: StreamId,
     },
-    /// The set in force has changed: listeners follow it.
+    /// The active configuration set has changed; listeners must be updated.
     CatalogChanged,
-    /// A planned stop is done: nothing is left that a caller waits for.
+    /// The planned stop has finished: no caller is waiting for anything from this instance.
     Stopped,
-    /// A newer process lives under this one's id: this one must end at once.
+    /// A newer process runs under this instance's id: this one must exit at once.
     Superseded,
-    /// Something that an operator should find in the log.
+    /// Log an event for operators.
     Notice(Notice),
 }
 
-/// What becomes of one packet.
+/// How to handle one packet.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum PacketAction {
     /// Send it to a target.
     ToTarget {
-        /// The local port to send from.
+        /// Local port to send from.
         local_port: LocalPort,
-        /// Where to.
+        /// Address of the target.
         target: SocketAddr,
     },
-    /// Send it to another instance.
+    /// Forward it to another instance.
     Forward {
-        /// Where to.
+        /// Address of the instance.
         address: SocketAddr,
-        /// The head to send with it.
+        /// Header to prepend.
         head: ForwardedPacketHeader,
     },
     /// Send it to a caller from the service's address.
     ToCaller {
         /// The service.
         service: ServiceId,
-        /// The caller.
+        /// Address of the caller.
         caller: SocketAddr,
     },
     /// Drop it.
@@ -294,55 +294,55 @@
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
 pub enum DropReason {
-    /// No service is known under this identity.
+    /// The service id is unknown.
     UnknownService,
     /// The flow table is full.
     TableFull,
-    /// No target can take the flow.
+    /// No target can receive the flow.
     NoTarget,
-    /// The instance has been paused and refreshes its view first.
+    /// The instance was paused and has not yet refreshed its view.
     Fenced,
-    /// No instance is known that could be the flow's home.
+    /// No instance is known that can be the flow's home.
     NoHome,
-    /// The hop limit is reached.
+    /// The hop limit has been reached.
     TooManyHops,
-    /// A target's packet belongs to no flow.
+    /// A packet from a target belongs to no known flow.
     NoFlow,
-    /// The flow's failure domain is out.
+    /// The flow's failure domain is out of service.
     DomainOut,
 }
 
-/// How a request ended, as told to its sender.
+/// Outcome of a request, as sent to its sender.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Reply {
-    /// With an answer that the adapter holds, of this request or of an earlier one with the same ticket.
+    /// An answer stored by the adapter, of this request or of an earlier one with the same ticket.
     Answer {
         /// The answer.
         answer: AnswerId,
-        /// A ticket for the caller's next request.
+        /// Ticket for the caller's next request.
         ticket: Option<String>,
-        /// Slots that this instance has free for the service.
+        /// Number of free slots that this instance has for the service.
         free: Option<u32>,
     },
-    /// Without an answer.
+    /// A refusal.
     Refuse {
-        /// Whether it may have run, and why there is no answer.
+        /// Whether the request may have run, and the reason of the refusal.
         refusal: Refusal,
-        /// A ticket for the caller's next try.
+        /// Ticket for the caller's next attempt.
         ticket: Option<String>,
-        /// When to try again.
+        /// Time after which the caller should retry.
         retry_after: Option<Duration>,
-        /// Slots that this instance has free for the service.
+        /// Number of free slots that this instance has for the service.
         free: Option<u32>,
     },
 }
 
-/// What the platform can be asked for.
+/// A resource of the platform.
 #[derive(Clone, Copy, Debug, Deserialize, Display, Eq, Hash, IntoStaticStr, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
 pub enum Resource {
-    /// The published set.
+    /// The published configuration set.
     Set,
     /// The list of instances.
     Instances,
@@ -351,19 +351,19 @@
 /// One read of the platform.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct PlatformRead {
-    /// What to read.
+    /// Resource to read.
     pub resource: Resource,
-    /// The version already known.
+    /// Version already known.
     pub after: Revision,
-    /// How long the platform may wait for a newer one; zero for a plain read.
+    /// Time for which the platform may hold the request until there is a newer version; zero for a plain read.
     pub wait: Duration,
 }
 
-/// The platform's list of instances, which lags.
+/// The platform's list of instances, which may be outdated.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct InstanceList {
-    /// Number of this list.
+    /// Version of the list.
     pub version: Revision,
     /// The instances.
     pub instances: Vec<ListedInstance>,
@@ -377,51 +377,51 @@
     pub id: InstanceId,
     /// Name of its failure domain.
     pub failure_domain: String,
-    /// Where it takes messages.
+    /// Address that receives messages.
     pub control: SocketAddr,
-    /// Where it takes forwarded packets.
+    /// Address that receives forwarded packets.
     pub forward: SocketAddr,
-    /// Whether it is about to leave.
+    /// Whether the instance is about to leave.
     #[serde(default)]
     pub leaving: bool,
 }
 
-/// What a target's health endpoint says.
+/// State reported by a target's health endpoint.
 #[derive(Clone, Copy, Debug, Deserialize, Display, Eq, IntoStaticStr, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
 pub enum HealthReport {
-    /// It bears only a little load.
+    /// The target is starting up and can take only a little load.
     Cold,
-    /// It bears its full load.
+    /// The target can take its full load.
     Warm,
-    /// It takes nothing new.
+    /// The target takes no new work.
     Leaving,
 }
 
-/// Something that an operator should find in the log.
+/// An event that is logged for operators.
 #[derive(Clone, Debug, Display, IntoStaticStr, Serialize)]
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
 pub enum Notice {
-    /// A set came into force.
+    /// A configuration set was activated.
     SetAdopted {
-        /// Its revision.
+        /// Revision of the set.
         revision: Revision,
     },
-    /// Two sets with different content have one revision.
+    /// Two sets with different content have the same revision.
     SetClash {
         /// The revision.
         revision: Revision,
     },
-    /// A set from a peer failed the check.
+    /// A set received from a peer failed validation.
     SetRefused {
-        /// Its revision.
+        /// Revision of the set.
         revision: Revision,
-        /// Why.
+        /// The validation error.
         reason: String,
     },
-    /// An instance's state changed.
+    /// The liveness state of an instance changed.
     MemberChanged {
         /// The instance.
         id: InstanceId,
@@ -432,21 +432,21 @@
     #[serde(rename = "woke-late")]
     #[strum(serialize = "woke-late")]
     PauseDetected {
-        /// How long.
+        /// Duration of the pause.
         gap: Duration,
     },
-    /// A target's state changed.
+    /// The status of a target changed.
     TargetChanged {
         /// The target.
         target: TargetId,
-        /// Its new state.
+        /// Its new status.
         status: crate::health::TargetStatus,
     },
     /// A non-idempotent request may have run and its answer is lost.
     OutcomeUnknown {
         /// The service.
         service: ServiceId,
-        /// Why nothing more is known.
+        /// Why the outcome is unknown.
         reason: crate::message::Reason,
     },
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,19 +1,23 @@
-//! Every decision of an instance, without sockets and without a clock.
+//! All decisions of an instance, as a state machine without I/O and without a clock (sans-I/O).
 //!
-//! [`Node::handle`] takes the present time and one [`Input`], and appends the [`Output`]s that follow from it. Whoever
-//! owns the sockets (the adapters package in a process, a test in virtual time) feeds it and carries out what it
-//! asks for. The boundary is typed and serialisable, so that any bench or test can drive many nodes at once.
+//! [`Node::handle`] takes the current time and one [`Input`], and appends the resulting [`Output`]s. The owner of the
+//! sockets (the adapters package in a process, a test in virtual time) supplies the inputs and performs the outputs.
+//! Both are plain data types, so that a benchmark or a test can drive many nodes at once.
 //!
-//! How the parts fit:
+//! Modules:
 //!
-//! - [`membership`] keeps who is alive, [`configuration`] which set is in force; together they make a [`view::View`].
-//! - [`flows`] finds the home of each datagram flow under that view, and under earlier ones while they matter.
-//! - [`coordinator`] counts the slots of the targets that this instance keeps, and raises cold ones step by step.
-//! - [`tickets`] and [`requests`] see to it that a non-idempotent request runs at most once and that each refusal is
-//!   true.
-//! - [`direct`] is the path on which targets answer callers themselves; of the above it uses only membership and
-//!   rendezvous.
-//! - [`invariants`] asserts what must always hold, counted in release and fatal in tests.
+//! - [`membership`] tracks which instances are alive, [`configuration`] which configuration set is active; both
+//!   together determine a [`view::View`].
+//! - [`flows`] finds the home instance of each datagram flow under that view, and under earlier views while they
+//!   matter.
+//! - [`coordinator`] counts the requests at the targets that this instance coordinates against their slots, and raises
+//!   the limit of cold targets step by step.
+//! - [`tickets`] and [`requests`] ensure that a non-idempotent request runs at most once and that every refusal is
+//!   correct.
+//! - [`direct`] is the path on which targets answer callers themselves (direct server return); of the modules above it
+//!   uses only membership and rendezvous.
+//! - [`invariants`] checks conditions that must always hold; violations are counted in release builds and fatal in
+//!   tests.
 
 pub mod attempt;
 mod backoff;
@@ -50,5 +54,5 @@
 pub use node::Node;
 pub use tuning::Tuning;
 
-/// A moment on the monotonic clock of one process, counted from a start of the owner's choosing.
+/// Monotonic time of one process, measured from an origin chosen by the owner.
 pub type Timestamp = Duration;
--- a/crates/core/src/message.rs
+++ b/crates/core/src/message.rs
@@ -1,7 +1,7 @@
-//! What instances tell each other.
+//! Messages between instances.
 //!
-//! Messages are one-way; an answer is a message of its own. Each travels in an [`Envelope`] that introduces its
-//! sender, so that a peer never heard of becomes known by the first word it says.
+//! Messages are one-way; a reply is a separate message. Each is sent in an [`Envelope`] that describes its sender, so
+//! that the receiver learns of an unknown peer from its first message.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -21,190 +21,192 @@
 use hawthornshift_model::TargetId;
 use hawthornshift_model::Verdict;
 
-/// Number of a message within its sender's life.
+/// Sequence number of a message, unique within one incarnation of its sender.
 pub type Sequence = u64;
 
-/// A message with its sender and its addressee.
+/// A message with its sender and its receiver.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Envelope {
-    /// The sender as it sees itself.
+    /// The sender's own membership entry.
     pub sender: MemberUpdate,
-    /// The instance that is meant; another one under the same address drops the message.
+    /// Instance that the message is for; another instance at the same address drops the message.
     pub to: InstanceId,
-    /// What is said.
+    /// The message.
     pub message: PeerMessage,
 }
 
-/// What one instance says to another.
+/// A message from one instance to another.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub enum PeerMessage {
-    /// Asks for a sign of life.
+    /// Requests an acknowledgement, as a failure-detection probe.
     Ping(Heartbeat),
-    /// Answers a ping.
+    /// Acknowledges a ping; also sent unsolicited to distribute state.
     Ack(Heartbeat),
-    /// Asks a third instance to ping one that did not answer.
+    /// Requests that a third instance ping one that has not acknowledged a direct ping.
     IndirectPing {
-        /// The asker's number for this try.
+        /// The requester's sequence number for this probe.
         sequence: Sequence,
-        /// The instance that did not answer.
+        /// Instance that has not acknowledged the direct ping.
         subject: InstanceId,
     },
-    /// Says that the instance asked about has answered.
+    /// Reports that the subject of an indirect ping has acknowledged.
     IndirectAck {
-        /// The number given by the asker.
+        /// The requester's sequence number.
         sequence: Sequence,
-        /// The instance that has answered.
+        /// Instance that has acknowledged.
         subject: InstanceId,
     },
-    /// Asks for a newer set.
+    /// Requests a newer configuration set.
     SetRequest {
-        /// The revision that the asker holds.
+        /// Revision that the requester holds.
         have: Revision,
     },
-    /// Brings a set.
+    /// Sends a configuration set.
     SetOffer {
-        /// The whole set; the receiver checks it anew.
+        /// The complete set; the receiver validates it again.
         set: Box<PublishedSet>,
     },
-    /// Tells where flows are held, or hands them over.
+    /// Advertises the instance that holds flows, or hands the flows over.
     FlowBatch(FlowBatch),
-    /// Confirms a batch.
+    /// Acknowledges a batch of flows.
     FlowBatchAck {
-        /// The batch's number.
+        /// Sequence number of the batch.
         sequence: Sequence,
-        /// Flows of which the receiver of the batch holds an elder record: the sender drops its own.
+        /// Flows for which the receiver of the batch holds a record that supersedes the sender's; the sender removes
+        /// its own.
         #[serde(default, skip_serializing_if = "Vec::is_empty")]
         superseded: Vec<SocketAddr>,
     },
-    /// Says that another instance's records of these flows hold over the receiver's, which drops its own.
+    /// Reports that another instance's records of these flows supersede the receiver's, which removes its own.
     FlowsSuperseded {
-        /// The service.
+        /// The service of the flows.
         service: ServiceId,
-        /// The flows' callers.
+        /// Callers of the flows.
         callers: Vec<SocketAddr>,
     },
-    /// Tells a target's new keeper what the former one still runs there.
+    /// Reports to a target's new coordinator how many requests the former coordinator still runs at the target.
     #[serde(rename = "keeper-release")]
     CoordinatorRelease {
         /// The target.
         target: TargetId,
-        /// Requests still running.
+        /// Number of requests still running.
         running: u32,
     },
-    /// Asks for the last words of issuers that have stopped; sent by an instance that has just joined.
+    /// Requests the final reports of stopped ticket issuers; sent by an instance that has just joined.
     #[serde(rename = "last-words-request")]
     FinalReportsRequest,
-    /// Says which tickets of an issuer were redeemed, sent as the last word before a planned stop; all others of
-    /// that life never ran and never will.
+    /// Final report of a ticket issuer, sent before a planned stop: lists the tickets that were redeemed. All other
+    /// tickets of that incarnation have not run and never will.
     IssuerClosed {
-        /// The issuer, which need not be the sender.
+        /// The issuer, which may differ from the sender.
         issuer: InstanceId,
-        /// The issuer's life.
+        /// Incarnation of the issuer.
         incarnation: Incarnation,
-        /// Issue time, in milliseconds of the issuer's clock, from which on the list is complete.
+        /// Issue time, in milliseconds of the issuer's clock, from which the list is complete.
         known_since_ms: u64,
         /// Serial numbers of the redeemed tickets.
         redeemed: Vec<u64>,
     },
 }
 
-/// A sign of life with what the sender holds.
+/// Content of pings and acknowledgements: the sender's state, with membership and target updates piggybacked.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Heartbeat {
-    /// Number that the answer repeats.
+    /// Sequence number, repeated in the acknowledgement.
     pub sequence: Sequence,
-    /// Revision of the set in force.
+    /// Revision of the sender's active configuration set.
     pub revision: Revision,
-    /// Hash of its content.
+    /// Hash of the content of that set.
     pub set_digest: u64,
     /// Hash of the sender's view.
     pub view: u64,
-    /// News of members.
+    /// Membership updates.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub members: Vec<MemberUpdate>,
-    /// News of targets that the sender keeps.
+    /// Status updates of targets that the sender coordinates.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub targets: Vec<TargetStatusUpdate>,
 }
 
-/// What is known of one instance; of two the one with the higher [`MemberUpdate::rank`] holds.
+/// State of one instance; of two updates of an instance the one with the higher [`MemberUpdate::rank`] takes
+/// precedence.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct MemberUpdate {
     /// The instance.
     pub id: InstanceId,
-    /// Its life; zero when only the platform's list names it.
+    /// Its incarnation; zero if it is known only from the platform's list.
     pub incarnation: Incarnation,
-    /// Raised by the instance itself to refute what others say of it.
+    /// Version within the incarnation, incremented by the instance itself to refute a suspicion.
     pub version: u32,
-    /// Whether it lives.
+    /// Liveness state of the instance.
     pub state: MemberState,
     /// Name of its failure domain.
     pub failure_domain: String,
-    /// Where it takes messages.
+    /// Address that receives messages.
     pub control: SocketAddr,
-    /// Where it takes forwarded packets.
+    /// Address that receives forwarded packets.
     pub forward: SocketAddr,
 }
 
 impl MemberUpdate {
-    /// Returns what orders two updates of one instance.
+    /// Returns the key that orders two updates of the same instance.
     #[must_use]
     pub fn rank(&self) -> (Incarnation, u32, MemberState) {
         (self.incarnation, self.version, self.state)
     }
 
-    /// Returns the most bytes that the update takes in a datagram.
+    /// Returns the maximum encoded length of the update in a datagram, in bytes.
     #[must_use]
     pub fn max_encoded_len(&self) -> usize {
-        /// Numbers and lengths in the variable form: id, incarnation, version, state, length of the name.
+        /// Maximum bytes of the varint fields: id, incarnation, version, state, and the length of the name.
         const VARINT_FIELDS_MAX_BYTES: usize = 5 + 10 + 5 + 1 + 2;
         let address = |address: &SocketAddr| if address.is_ipv4() { 8 } else { 20 };
         VARINT_FIELDS_MAX_BYTES + self.failure_domain.len() + address(&self.control) + address(&self.forward)
     }
 }
 
-/// Whether an instance lives; a later one holds over an earlier one of the same version.
+/// Liveness state of an instance; a later state takes precedence over an earlier one of the same version.
 #[derive(
     Clone, Copy, Debug, Deserialize, Display, EnumString, Eq, IntoStaticStr, Ord, PartialEq, PartialOrd, Serialize,
 )]
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
 pub enum MemberState {
-    /// Only the platform's list names it; nothing has been heard of it.
+    /// Known only from the platform's list; no message has been received from it.
     Listed,
-    /// It answers.
+    /// It acknowledges pings.
     Alive,
-    /// It does not answer; it still counts as serving until the suspicion time is over.
+    /// It does not acknowledge pings; it counts as serving until the suspicion timeout.
     Suspect,
-    /// It stops as planned.
+    /// It is shutting down as planned.
     Leaving,
-    /// It has not answered for the suspicion time, or has said that it is gone.
+    /// It has not acknowledged until the suspicion timeout, or has announced that it has left.
     Dead,
 }
 
 impl MemberState {
-    /// Tells whether messages to an instance in this state may arrive.
+    /// Returns whether messages to an instance in this state may be delivered.
     #[must_use]
     pub fn is_reachable(self) -> bool {
         matches!(self, Self::Alive | Self::Suspect | Self::Leaving)
     }
 }
 
-/// Flows that share a service and a target, told to the instance that is their home under the sender's view.
+/// Flows of one service at one target, sent to the instance that is their home under the sender's view.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct FlowBatch {
-    /// Number that the confirmation repeats.
+    /// Sequence number, repeated in the acknowledgement.
     pub sequence: Sequence,
     /// The service.
     pub service: ServiceId,
-    /// The target that the flows go to.
+    /// Target of the flows.
     pub target: TargetDescriptor,
-    /// Whether the receiver takes the flows over; else the sender keeps them and wants their packets.
+    /// Whether the receiver takes the flows over; otherwise the sender keeps them and expects their packets.
     pub handover: bool,
     /// The flows.
     pub flows: Vec<FlowDescriptor>,
@@ -214,19 +216,20 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct FlowDescriptor {
-    /// Who it is from.
+    /// Address of the caller.
     pub caller: SocketAddr,
-    /// Milliseconds since it was started.
+    /// Age of the flow, in milliseconds since its first packet.
     pub age_ms: u32,
-    /// Milliseconds since its last packet.
+    /// Idle time of the flow, in milliseconds since its last packet.
     pub idle_ms: u32,
 }
 
 impl FlowDescriptor {
-    /// Tells whether this record of a flow holds over another of the same flow.
+    /// Returns whether this record of a flow supersedes another record of the same flow.
     ///
-    /// One that had its last packet before the other was started was abandoned: its instance was paused or cut off,
-    /// and the caller has moved on. Else both are in use, and the elder holds, for its target has the flow's history.
+    /// A record whose last packet precedes the start of the other was abandoned: its instance was paused or
+    /// partitioned, and the caller's packets have since reached another instance. Otherwise both are in use and the
+    /// older one takes precedence, because its target has the history of the flow.
     #[must_use]
     pub fn supersedes(&self, other: &Self) -> bool {
         if self.idle_ms > other.age_ms {
@@ -236,19 +239,19 @@
     }
 }
 
-/// A target, described whole, since the receiver's set may no longer name it.
+/// Complete description of a target, since the receiver's configuration set may no longer contain it.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct TargetDescriptor {
     /// The target.
     pub id: TargetId,
-    /// Where it serves.
+    /// Address at which the target serves.
     pub address: SocketAddr,
-    /// Name of the failure domain it runs in.
+    /// Name of its failure domain.
     pub failure_domain: String,
 }
 
-/// Head of a packet forwarded between instances.
+/// Header of a packet forwarded between instances.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ForwardedPacketHeader {
@@ -258,9 +261,9 @@
     pub service: ServiceId,
     /// The caller.
     pub caller: SocketAddr,
-    /// Hops that are left; each receiver lowers it, so that no pair of views can make a loop.
+    /// Remaining hops; decremented by each receiver, so that instances with different views cannot forward in a loop.
     pub hops_left: u8,
-    /// Why it was forwarded.
+    /// Why the packet was forwarded.
     pub purpose: ForwardPurpose,
 }
 
@@ -270,55 +273,56 @@
 pub enum ForwardPurpose {
     /// The receiver is the flow's home in the sender's view.
     ToHome,
-    /// The sender was told that the receiver holds the flow.
+    /// The receiver has been advertised to the sender as the holder of the flow.
     ToHolder,
-    /// The sender is the home and asks an earlier home, which returns the packet if it does not hold the flow.
+    /// The sender is the flow's home and queries an earlier home, which returns the packet if it does not hold the
+    /// flow.
     Ask {
-        /// Which of the earlier homes is asked.
+        /// Position of the queried instance among the earlier homes.
         position: u8,
     },
-    /// The earlier home does not hold the flow.
+    /// The queried earlier home does not hold the flow.
     Return {
-        /// Which of the earlier homes that was.
+        /// Position of that instance among the earlier homes.
         position: u8,
     },
 }
 
-/// A request passed to the instance that issued its ticket or that keeps targets for it.
+/// Header of a request forwarded to the issuer of its ticket or to a coordinator of targets.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ForwardedRequestHeader {
     /// The service.
     pub service: ServiceId,
-    /// What the receiver is asked to do.
+    /// What the receiver has to do.
     pub purpose: ForwardedRequestPurpose,
-    /// Whether running it twice does no harm.
+    /// Whether the request is idempotent, that is, may safely run twice.
     pub idempotent: bool,
     /// Time left until the caller's deadline.
     pub time_left: Duration,
 }
 
-/// What the receiver of a passed request is asked to do.
+/// What the receiver of a forwarded request has to do.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub enum ForwardedRequestPurpose {
-    /// Redeem a ticket that it has issued.
+    /// Redeem a ticket that the receiver has issued.
     Redeem {
         /// The ticket.
         ticket: String,
     },
-    /// Run it at a target that it keeps.
+    /// Run the request at a target that the receiver coordinates.
     #[serde(rename = "keep")]
     Execute,
 }
 
-/// How a request ended.
+/// Outcome of a request that has no answer.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Refusal {
-    /// Whether it may have run.
+    /// Whether the request may have run.
     pub verdict: Verdict,
-    /// Why it was refused.
+    /// Why the request was refused.
     pub reason: Reason,
 }
 
@@ -327,36 +331,36 @@
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
 pub enum Reason {
-    /// No service is known under this identity.
+    /// The service id is unknown.
     UnknownService,
-    /// A non-idempotent request came without a ticket.
+    /// A non-idempotent request carries no ticket.
     TicketRequired,
-    /// The ticket is not one that its issuer gave for this service.
+    /// The ticket was not issued for this service by the issuer that it names.
     TicketInvalid,
-    /// The ticket's time is over.
+    /// The ticket has expired.
     TicketExpired,
-    /// The ticket's issuer is gone or cannot be reached.
+    /// The ticket's issuer has failed or cannot be reached.
     IssuerGone,
-    /// The ticket was redeemed and its answer is no longer kept.
+    /// The ticket was redeemed and its answer is no longer stored.
     AnswerGone,
-    /// Every target is busy.
+    /// All targets are at their limit.
     Overloaded,
-    /// No target is usable.
+    /// No target is available.
     NoTarget,
-    /// The deadline is over.
+    /// The deadline has passed.
     DeadlineExceeded,
-    /// The caller has gone and does not want the answer.
+    /// The caller has disconnected before the answer.
     CallerGone,
-    /// The connection to a target or instance broke.
+    /// The connection to a target or an instance broke.
     ConnectionBroken,
-    /// The target's answer was cut short.
+    /// The target's answer was truncated.
     AnswerIncomplete,
-    /// The instance has been paused or cut off and refreshes its view first.
+    /// The instance was paused or partitioned and has not yet refreshed its view.
     Fenced,
     /// The instance is stopping.
     Stopping,
-    /// The target refused the request before it ran.
+    /// The target refused the request before running it.
     RefusedByTarget,
-    /// The instance holds as much as it can.
+    /// A table of the instance is full.
     TableFull,
 }
--- a/crates/core/src/node/fence.rs
+++ b/crates/core/src/node/fence.rs
@@ -1,4 +1,4 @@
-//! The fence: a node that has just started or woken late decides nothing until a peer confirms its view.
+//! Fencing: a node that has just started or resumed after a pause decides nothing until a peer confirms its view.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,25 +13,25 @@
 use crate::view::View;
 use hawthornshift_model::InstanceId;
 
-/// Peers asked at once by an instance that woke late.
+/// Number of peers that a fenced instance pings at the same time.
 const REFRESH_PEERS: usize = 3;
-/// Time after which an instance that has just started, or woken late, serves although no peer has confirmed its view:
-/// it is alone, or cut off, and then serves what it can.
+/// Time after which a fenced instance serves although no peer has confirmed its view. It is then alone or partitioned,
+/// and serves what it can.
 const FENCE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time between two rounds of pings while a view is to be confirmed.
+/// Interval between two rounds of pings while the view is unconfirmed.
 const REFRESH_PERIOD: Duration = Duration::from_millis(150);
 
-/// A node behind a fence decides nothing new until a peer has confirmed its view.
+/// State of a fenced node, which makes no new decisions until a peer has confirmed its view.
 ///
-/// It is there after the start, when the node knows nobody yet and would take every flow for a new one of its own,
-/// and after a pause, when others may have taken over what the node held.
+/// A node is fenced after its start, when it knows no other instance and would take every flow for a new one of its
+/// own, and after a pause, during which others may have taken over its flows and targets.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Fence {
-    /// Pings numbered from here on were sent behind the fence.
+    /// Pings from this sequence number on were sent while fenced.
     first_sequence: Sequence,
-    /// When the node goes on all the same.
-    until: Timestamp,
-    /// When the next peers are asked.
+    /// When the node serves without confirmation.
+    timeout_at: Timestamp,
+    /// When the next peers are pinged.
     next_refresh: Timestamp,
     /// Whether the node has just started.
     joining: bool,
@@ -40,16 +40,16 @@
 impl Fence {
     /// Returns the fence of a node that starts now.
     pub(super) fn joining(now: Timestamp) -> Self {
-        Self { first_sequence: 0, until: now + FENCE_TIMEOUT, next_refresh: now, joining: true }
+        Self { first_sequence: 0, timeout_at: now + FENCE_TIMEOUT, next_refresh: now, joining: true }
     }
 }
 
 impl Node {
-    /// Notices that the process was paused for longer than its lease.
+    /// Detects that the process was paused for longer than its lease, and fences the node.
     ///
-    /// Others may have taken over its flows and targets meanwhile. It would show as packets to a failure domain that
-    /// is out, or as two keepers at one target. So nothing new is decided until a peer has answered a ping that was
-    /// sent after the pause.
+    /// Other instances may have taken over its flows and targets meanwhile. Without the fence the node could send
+    /// packets to a failure domain that is out of service, or act as a second coordinator of a target. It decides
+    /// nothing new until a peer has acknowledged a ping that was sent after the pause.
     pub(super) fn detect_pause(&mut self, now: Timestamp, out: &mut Vec<Output>) {
         let gap = now.saturating_sub(self.last_input);
         self.last_input = self.last_input.max(now);
@@ -59,20 +59,20 @@
         out.push(Output::Notice(Notice::PauseDetected { gap }));
         let joining = self.fence.is_some_and(|fence| fence.joining);
         let first_sequence = self.membership.next_sequence();
-        self.fence = Some(Fence { first_sequence, until: now + FENCE_TIMEOUT, next_refresh: now, joining });
+        self.fence = Some(Fence { first_sequence, timeout_at: now + FENCE_TIMEOUT, next_refresh: now, joining });
         self.platform.read_all_now(now);
         self.tick_fence(now, out);
     }
 
-    /// Asks peers to confirm the view, or goes on without them when the time is over.
+    /// Pings peers to confirm the view, or lifts the fence when the timeout has passed.
     pub(super) fn tick_fence(&mut self, now: Timestamp, out: &mut Vec<Output>) {
         let Some(fence) = &mut self.fence else { return };
         let has_set = self.configuration.revision() > 0;
         if !has_set {
-            // Who serves is often learned together with the set; the time to find the others starts with it.
-            fence.until = now + FENCE_TIMEOUT;
+            // The serving instances are often learned together with the set, so the timeout starts with it.
+            fence.timeout_at = now + FENCE_TIMEOUT;
         }
-        if has_set && now >= fence.until {
+        if has_set && now >= fence.timeout_at {
             self.lift_fence(now, out);
         } else if now >= fence.next_refresh {
             fence.next_refresh = now + REFRESH_PERIOD;
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Lifts the fence when the answer to a ping sent behind it shows that the peer's view is this node's own.
+    /// Lifts the fence if an acknowledgement of a ping sent while fenced shows that the peer has the same view.
     pub(super) fn confirm_view(
         &mut self,
         now: Timestamp,
@@ -103,7 +103,7 @@
     pub(super) fn lift_fence(&mut self, now: Timestamp, out: &mut Vec<Output>) {
         let Some(fence) = self.fence.take() else { return };
         let me = self.membership.me().id;
-        let others = self.membership.serving().filter(|(seat, _)| seat.id != me);
+        let others = self.membership.serving().filter(|(instance, _)| instance.id != me);
         let before = View::new(Arc::clone(self.configuration.catalog()), others);
         if fence.joining {
             self.flows.joined(now, before);
--- a/crates/core/src/node/lifecycle.rs
+++ b/crates/core/src/node/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The life of a node, and its planned stop.
+//! Lifecycle of a node, and its planned stop.
 
 use std::time::Duration;
 
@@ -11,25 +11,25 @@
 use crate::message::PeerMessage;
 use hawthornshift_model::InstanceId;
 
-/// Time that the last word of a stopping instance is given to reach its peers.
+/// Time for the final report of a stopping instance to reach its peers.
 const CLOSING_TIME: Duration = Duration::from_millis(200);
-/// Shortest time a planned stop takes, so that every peer has left this instance out of its view before it ends.
+/// Minimum duration of a planned stop, so that every peer has removed this instance from its view before it exits.
 const MIN_DRAIN_TIME: Duration = Duration::from_secs(1);
 
-/// Where a node stands in its life.
+/// Phase in the lifecycle of a node.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum Phase {
-    /// It has no set yet.
+    /// It has no configuration set yet.
     Starting,
-    /// It serves.
+    /// It is serving.
     Serving,
-    /// It stops as planned and finishes what it has.
+    /// It is stopping as planned and finishes its flows, streams and requests.
     Stopping { since: Timestamp },
-    /// It has said its last word and waits for it to arrive.
+    /// It has sent its final report and waits for its delivery.
     Closing { since: Timestamp },
-    /// It is done.
+    /// The planned stop has finished.
     Stopped,
-    /// A newer life of it exists.
+    /// A newer incarnation of this instance exists.
     Superseded,
 }
 
@@ -46,7 +46,7 @@
 }
 
 impl Node {
-    /// Begins a planned stop: leaves every view, hands over what it holds, and finishes what it runs.
+    /// Starts a planned stop: the node leaves all views, hands over its flows, and finishes its requests.
     pub(super) fn stop(&mut self, now: Timestamp) {
         if matches!(self.phase, Phase::Starting | Phase::Serving) {
             self.phase = Phase::Stopping { since: now };
@@ -68,7 +68,7 @@
             }
             Phase::Closing { since } => {
                 let elapsed = now.saturating_sub(since);
-                // The fabric may have handed in more meanwhile.
+                // The fabric may have delivered more requests meanwhile.
                 let idle = self.requests.under_way() == 0;
                 if elapsed >= CLOSING_TIME && idle || elapsed >= self.tuning.drain {
                     self.phase = Phase::Stopped;
@@ -79,12 +79,12 @@
         }
     }
 
-    /// Tells every peer at once that this instance is leaving, and takes itself out of its own view.
+    /// Informs all peers that this instance is leaving, and removes it from its own view.
     pub(super) fn announce_leaving(&mut self, now: Timestamp, since: Timestamp, out: &mut Vec<Output>) {
         if self.view.serves(self.membership.me().id) {
             self.rebuild_view(now, out);
         }
-        // Repeated, since a peer may miss the first word; heartbeats carry it anyway.
+        // Sent repeatedly, since a peer may miss the first message; heartbeats carry the state in any case.
         if now.saturating_sub(since) < MIN_DRAIN_TIME && self.rng.random_ratio(1, 4) || now == since {
             self.broadcast_heartbeat(out);
         }
@@ -93,12 +93,13 @@
     pub(super) fn broadcast_heartbeat(&mut self, out: &mut Vec<Output>) {
         let peers: Vec<InstanceId> = self.membership.reachable().map(|update| update.id).collect();
         for to in peers {
-            let heartbeat = self.heartbeat(0, false, to);
+            let heartbeat = self.create_heartbeat(0, false, to);
             self.send(to, PeerMessage::Ack(heartbeat), out);
         }
     }
 
-    /// Says which tickets were redeemed. From here on none is, or the word would be untrue.
+    /// Sends the list of redeemed tickets to all peers. No ticket is redeemed from here on, since the list would then
+    /// be incomplete.
     pub(super) fn send_final_report(&mut self, now: Timestamp, out: &mut Vec<Output>) {
         self.phase = Phase::Closing { since: now };
         self.membership.depart();
--- a/crates/core/src/node/messages.rs
+++ b/crates/core/src/node/messages.rs
@@ -1,4 +1,4 @@
-//! What a node does with the messages of others, and what it tells them.
+//! Messages between this node and its peers.
 
 use std::sync::Arc;
 
@@ -20,7 +20,7 @@
 use hawthornshift_model::PublishedSet;
 
 impl Node {
-    pub(super) fn peer_message(&mut self, now: Timestamp, envelope: Envelope, out: &mut Vec<Output>) {
+    pub(super) fn process_peer_message(&mut self, now: Timestamp, envelope: Envelope, out: &mut Vec<Output>) {
         if envelope.to != self.membership.me().id || envelope.sender.id == envelope.to {
             return;
         }
@@ -31,7 +31,7 @@
                 let sequence = heartbeat.sequence;
                 let differs = heartbeat.view != self.view.digest();
                 self.process_heartbeat(now, from, heartbeat, out);
-                let answer = self.heartbeat(sequence, differs, from);
+                let answer = self.create_heartbeat(sequence, differs, from);
                 self.send(from, PeerMessage::Ack(answer), out);
             }
             PeerMessage::Ack(heartbeat) => {
@@ -50,7 +50,7 @@
             }
             PeerMessage::SetRequest { have } => self.send_set(from, have, out),
             PeerMessage::SetOffer { set } => self.process_set_offer(now, *set, out),
-            PeerMessage::FlowBatch(batch) => self.flow_batch(now, from, &batch, out),
+            PeerMessage::FlowBatch(batch) => self.process_flow_batch(now, from, &batch, out),
             PeerMessage::FlowsSuperseded { service, callers } => self.flows.superseded(now, service, &callers),
             PeerMessage::FlowBatchAck { sequence, superseded } => {
                 self.flows.batch_acknowledged(now, sequence, &superseded);
@@ -72,7 +72,13 @@
         }
     }
 
-    pub(super) fn flow_batch(&mut self, now: Timestamp, from: InstanceId, batch: &FlowBatch, out: &mut Vec<Output>) {
+    pub(super) fn process_flow_batch(
+        &mut self,
+        now: Timestamp,
+        from: InstanceId,
+        batch: &FlowBatch,
+        out: &mut Vec<Output>,
+    ) {
         let Self { flows, view, membership, health, configuration, fence, .. } = self;
         let cx = flow_context(view, membership, health, configuration, fence.as_ref());
         let Superseded { senders, others } = flows.apply_batch(now, from, batch, cx);
@@ -103,7 +109,7 @@
         }
     }
 
-    pub(super) fn heartbeat(&mut self, sequence: Sequence, differs: bool, to: InstanceId) -> Heartbeat {
+    pub(super) fn create_heartbeat(&mut self, sequence: Sequence, differs: bool, to: InstanceId) -> Heartbeat {
         let same_domain = self
             .membership
             .member(to)
@@ -131,7 +137,8 @@
         }
     }
 
-    /// Takes a set from a peer, checked anew: the peer may run another version of this program.
+    /// Handles a configuration set from a peer. The set is validated again, since the peer may run another version of
+    /// this program.
     pub(super) fn process_set_offer(&mut self, now: Timestamp, set: PublishedSet, out: &mut Vec<Output>) {
         let revision = set.revision;
         if revision < self.configuration.revision() {
@@ -146,13 +153,13 @@
         }
     }
 
-    /// Tells the instances of this failure domain what has changed about the targets kept here.
+    /// Sends status changes of the targets that this instance coordinates to the instances of its failure domain.
     pub(super) fn broadcast_target_status(&mut self, out: &mut Vec<Output>) {
         let updates = self.coordinator.status_updates(true);
         if updates.is_empty() {
             return;
         }
-        // The news concerns this instance's own flows first of all.
+        // The changes apply to this instance's own flows first.
         let now = self.last_input;
         for update in &updates {
             self.health.note(now, *update);
@@ -161,7 +168,7 @@
         let same_domain = self.membership.reachable().filter(|update| update.failure_domain == domain);
         let same_domain: Vec<InstanceId> = same_domain.map(|update| update.id).collect();
         for to in same_domain {
-            let heartbeat = Heartbeat { targets: updates.clone(), ..self.heartbeat(0, false, to) };
+            let heartbeat = Heartbeat { targets: updates.clone(), ..self.create_heartbeat(0, false, to) };
             self.send(to, PeerMessage::Ack(heartbeat), out);
         }
     }
@@ -182,7 +189,9 @@
     ) {
         for probe_message in probe_messages {
             let (to, message) = match probe_message {
-                ProbeMessage::Ping { to, sequence } => (to, PeerMessage::Ping(self.heartbeat(sequence, false, to))),
+                ProbeMessage::Ping { to, sequence } => {
+                    (to, PeerMessage::Ping(self.create_heartbeat(sequence, false, to)))
+                }
                 ProbeMessage::IndirectPing { to, sequence, subject } => {
                     (to, PeerMessage::IndirectPing { sequence, subject })
                 }
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -1,7 +1,7 @@
-//! The node: takes inputs, asks the parts that decide, and gives outputs.
+//! The node: dispatches inputs to the modules that decide, and collects their outputs.
 //!
-//! This module has the inputs and the tick; `fence` what holds a node back, `messages` what it says to others,
-//! `lifecycle` how it stops, `state` what it shows to operators.
+//! This module handles the inputs and the tick. `fence` delays decisions until the view is confirmed, `messages`
+//! handles messages between instances, `lifecycle` the planned stop, and `state` the dump for operators.
 
 mod fence;
 mod lifecycle;
@@ -51,10 +51,10 @@
 use hawthornshift_model::FlowKey;
 use hawthornshift_model::TargetId;
 
-/// How often [`Input::Tick`] is due at the least.
+/// Maximum interval between two inputs of [`Input::Tick`].
 pub const TICK_PERIOD: Duration = Duration::from_millis(50);
 
-/// One instance's decisions.
+/// State and decisions of one instance.
 #[derive(Debug)]
 pub struct Node {
     tuning: Tuning,
@@ -78,9 +78,9 @@
 }
 
 impl Node {
-    /// Starts a node that knows nobody and has no set.
+    /// Creates a node that knows no other instance and has no configuration set.
     ///
-    /// `seed` drives all its random choices; `ticket_key` must be random and known to nobody else.
+    /// `seed` initialises all its random choices; `ticket_key` must be random and secret.
     #[must_use]
     pub fn new(now: Timestamp, identity: Identity, tuning: Tuning, seed: u64, ticket_key: [u8; KEY_BYTES]) -> Self {
         let me = identity.id;
@@ -107,49 +107,49 @@
         }
     }
 
-    /// Returns the set in force.
+    /// Returns the active configuration set.
     #[must_use]
     pub fn catalog(&self) -> &Arc<Catalog> {
         self.configuration.catalog()
     }
 
-    /// Returns the view in force.
+    /// Returns the current view.
     #[must_use]
     pub fn view(&self) -> &View {
         &self.view
     }
 
-    /// Returns the breaches of invariants.
+    /// Returns the counters of invariant violations.
     #[must_use]
     pub fn invariant_counters(&self) -> &InvariantCounters {
         &self.invariant_counters
     }
 
-    /// Returns the flows.
+    /// Returns the datagram flows.
     #[must_use]
     pub fn flows(&self) -> &Flows {
         &self.flows
     }
 
-    /// Tells whether the fabric should send new work here.
+    /// Returns whether the fabric should send new work to this instance.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.phase == Phase::Serving && self.fence.is_none()
     }
 
-    /// Tells whether a planned stop is done, or a newer life of this instance exists.
+    /// Returns whether a planned stop has finished or a newer incarnation of this instance exists.
     #[must_use]
     pub fn is_stopped(&self) -> bool {
         matches!(self.phase, Phase::Stopped | Phase::Superseded)
     }
 
-    /// Returns this instance as it presents itself.
+    /// Returns the membership entry of this instance.
     #[must_use]
     pub fn me(&self) -> &MemberUpdate {
         self.membership.me()
     }
 
-    /// Takes one input and appends what follows from it to `out`.
+    /// Processes one input and appends the resulting outputs to `out`.
     pub fn handle(&mut self, now: Timestamp, input: Input, out: &mut Vec<Output>) {
         self.detect_pause(now, out);
         match input {
@@ -164,15 +164,15 @@
             }
             Input::Tick => self.tick(now, out),
             Input::Stop => self.stop(now),
-            Input::PeerMessage(envelope) => self.peer_message(now, *envelope, out),
+            Input::PeerMessage(envelope) => self.process_peer_message(now, *envelope, out),
             Input::PeerIntroduced(update) => {
                 self.membership.merge_update(now, &update);
             }
             Input::PeerUnreachable { to } => self.membership.unreachable(now, to),
             Input::SetRead(set) => self.process_set_read(now, set, out),
-            Input::SetUnchanged => self.platform_answered(now, Resource::Set),
+            Input::SetUnchanged => self.record_platform_answer(now, Resource::Set),
             Input::InstancesRead(list) => self.process_instances_read(now, &list),
-            Input::InstancesUnchanged => self.platform_answered(now, Resource::Instances),
+            Input::InstancesUnchanged => self.record_platform_answer(now, Resource::Instances),
             Input::PlatformFailed(resource) => {
                 let watches = PlatformReader::watches(&self.view, self.membership.me());
                 self.platform.failed(now, resource, watches, &mut self.rng);
@@ -189,17 +189,17 @@
                 connect_or_close(stream, address, out);
             }
             Input::StreamClosed { stream } => self.streams.closed(stream),
-            request => self.request_input(now, request, out),
+            request => self.process_request_input(now, request, out),
         }
     }
 
-    /// Takes an input that concerns a request.
-    fn request_input(&mut self, now: Timestamp, input: Input, out: &mut Vec<Output>) {
+    /// Processes an input that concerns a request.
+    fn process_request_input(&mut self, now: Timestamp, input: Input, out: &mut Vec<Output>) {
         let (requests, mut cx) = self.request_context(now, out);
         let cx = &mut cx;
         match input {
             Input::RequestArrived { request, service, idempotent, ticket, timeout } => {
-                requests.arrived(cx, request, service, idempotent, ticket.as_deref(), timeout);
+                requests.request_arrived(cx, request, service, idempotent, ticket.as_deref(), timeout);
             }
             Input::ForwardedRequestArrived { request, head, .. } => requests.forward_arrived(cx, request, &head),
             Input::ForwardedRequestEnded { request, result, free } => requests.forward_ended(cx, request, result, free),
@@ -306,18 +306,18 @@
         }
     }
 
-    fn platform_answered(&mut self, now: Timestamp, resource: Resource) {
+    fn record_platform_answer(&mut self, now: Timestamp, resource: Resource) {
         let watches = PlatformReader::watches(&self.view, self.membership.me());
         self.platform.answered(now, resource, watches, &mut self.rng);
     }
 
     fn process_set_read(&mut self, now: Timestamp, set: Arc<CheckedSet>, out: &mut Vec<Output>) {
-        self.platform_answered(now, Resource::Set);
+        self.record_platform_answer(now, Resource::Set);
         self.apply_set(now, set, out);
     }
 
     fn process_instances_read(&mut self, now: Timestamp, list: &InstanceList) {
-        self.platform_answered(now, Resource::Instances);
+        self.record_platform_answer(now, Resource::Instances);
         self.membership.apply_instance_list(now, list);
     }
 
@@ -339,10 +339,10 @@
         out.push(Output::CatalogChanged);
     }
 
-    /// Makes a new view when membership has changed.
+    /// Rebuilds the view if membership has changed.
     ///
-    /// It is done once a tick and not for each piece of news: a view of the largest fleet takes milliseconds, and an
-    /// instance that joins it hears of hundreds of others one by one.
+    /// This is done once per tick and not for each update: a view of the largest fleet takes milliseconds to build, and
+    /// an instance that joins such a fleet learns of hundreds of others one at a time.
     fn apply_membership_changes(&mut self, now: Timestamp, out: &mut Vec<Output>) {
         if self.membership.superseded() && self.phase != Phase::Superseded {
             self.phase = Phase::Superseded;
--- a/crates/core/src/node/state.rs
+++ b/crates/core/src/node/state.rs
@@ -1,4 +1,4 @@
-//! The state of a node for operators.
+//! Dump of a node's state for operators.
 
 use super::Node;
 use crate::Timestamp;
@@ -7,11 +7,11 @@
 use crate::dump::FlowDump;
 
 impl Node {
-    /// Returns the state for operators.
+    /// Returns the state of the node for operators.
     #[must_use]
     pub fn dump(&self, now: Timestamp) -> Dump {
         let catalog = self.configuration.catalog();
-        let out = catalog.domains().iter().filter(|domain| !domain.in_service);
+        let out_domains = catalog.domains().iter().filter(|domain| !domain.in_service);
         let name = |id| {
             let target = catalog.target(id);
             target.map_or_else(String::new, |target| format!("{}/{}", catalog.group(target.group).name, target.name))
@@ -24,12 +24,12 @@
             configuration: ConfigurationDump {
                 revision: catalog.revision(),
                 digest: format!("{:016x}", catalog.digest()),
-                out: out.map(|domain| domain.name.clone()).collect(),
+                out: out_domains.map(|domain| domain.name.clone()).collect(),
                 clashes: self.configuration.clashes(),
                 refused: self.configuration.refused(),
             },
             view: format!("{:016x}", self.view.digest()),
-            serving: self.view.serving().iter().map(|seat| seat.id).collect(),
+            serving: self.view.serving().iter().map(|instance| instance.id).collect(),
             members: self.membership.members().cloned().collect(),
             flows: FlowDump {
                 held: self.flows.held(),
--- a/crates/core/src/requests/budget.rs
+++ b/crates/core/src/requests/budget.rs
@@ -1,18 +1,18 @@
-//! How many retries the load allows.
+//! Retry budget: limits retries to a share of the load.
 
 use serde::Serialize;
 
-/// Retries earned by each first try, in hundredths.
+/// Share of a retry that each first attempt adds to the balance, in hundredths.
 const DEPOSIT_HUNDREDTHS: u32 = 10;
 /// Cost of a retry, in hundredths.
 const RETRY_COST_HUNDREDTHS: u32 = 100;
-/// Most that can be saved up, in hundredths.
+/// Maximum balance, in hundredths.
 const MAX_BALANCE_HUNDREDTHS: u32 = 1_000;
 
-/// A share of the load that may be spent on retries.
+/// Balance of retries, earned by first attempts.
 ///
-/// A fixed number of retries a request multiplies the load just when targets fail from it. A share of the load adds
-/// a tenth at the worst.
+/// A fixed number of retries per request multiplies the load exactly when overload makes targets fail. A share of the
+/// load adds at most a tenth, apart from the balance.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct RetryBudget {
@@ -26,12 +26,12 @@
 }
 
 impl RetryBudget {
-    /// Notes a first try, which earns part of a retry.
+    /// Records a first attempt, which adds a share of a retry to the balance.
     pub fn deposit(&mut self) {
         self.hundredths = (self.hundredths + DEPOSIT_HUNDREDTHS).min(MAX_BALANCE_HUNDREDTHS);
     }
 
-    /// Spends one retry if there is one.
+    /// Pays for one retry and returns whether the balance was sufficient.
     pub fn try_withdraw(&mut self) -> bool {
         let is_available = self.hundredths >= RETRY_COST_HUNDREDTHS;
         if is_available {
--- a/crates/core/src/requests/mod.rs
+++ b/crates/core/src/requests/mod.rs
@@ -1,17 +1,19 @@
-//! Requests: from the caller over the ticket's issuer and a target's keeper to the target, and back.
+//! Requests: from the caller through the ticket's issuer and a target's coordinator to the target, and back.
 //!
-//! An instance can have any of three parts in one request, each at most once:
+//! An instance can have any of three roles in one request, each at most once:
 //!
-//! - *entry*: it took the request from the caller. It passes one that carries a ticket to the ticket's issuer.
-//! - *owner*: it decides how often the request is tried. For a ticket that is the issuer, else the entry.
-//! - *keeper*: it keeps a target and runs the request there when a slot is free.
+//! - *ingress*: it received the request from the caller. It forwards a request that carries a ticket to the ticket's
+//!   issuer.
+//! - *owner*: it decides about retries. The owner of a request with a ticket is the ticket's issuer; otherwise it is
+//!   the ingress.
+//! - *coordinator*: it coordinates a target and runs the request there when a slot is free.
 //!
-//! # When "not run" may be said
+//! # When "not run" may be returned
 //!
-//! The verdict speaks of the request, not of one try: a retry with the same ticket is the same request. So of a
-//! ticket only its issuer says "not run", which knows every redemption; an entry that cannot reach the issuer says
-//! "may have run" even though it did nothing itself. Along a request's way verdicts only get worse ([`Verdict`] is
-//! ordered); `worst_verdict` in each entry sees to that.
+//! The verdict applies to the request, not to one attempt: a retry with the same ticket is the same request. Only the
+//! issuer of a ticket returns "not run" for it, because only the issuer knows every redemption; an ingress that cannot
+//! reach the issuer returns "may have run" although it did nothing with the request itself. Along the path of a request
+//! verdicts only get worse ([`Verdict`] is ordered); the field `worst_verdict` of each entry ensures that.
 
 pub mod budget;
 mod outcome;
@@ -55,88 +57,89 @@
 use hawthornshift_model::TargetId;
 use hawthornshift_model::Verdict;
 
-/// Keepers that a request is offered to at most.
+/// Maximum number of coordinators to which one request is offered.
 const MAX_COORDINATORS_TRIED: usize = 4;
-/// Most requests that one instance handles at once.
+/// Maximum number of requests that one instance handles at the same time.
 const MAX_REQUESTS: usize = 20_000;
-/// What each hop takes off the time left, so that the instance nearest the target gives up first and can say why.
+/// Each hop subtracts this from the remaining time, so that the instance nearest the target times out first and can
+/// report the reason.
 const HOP_TIMEOUT_MARGIN: Duration = Duration::from_millis(20);
 
-/// What the request decisions look at and act on besides their own state.
+/// State that request handling reads and changes besides its own.
 pub struct RequestContext<'a> {
-    /// The present time.
+    /// Current time.
     pub now: Timestamp,
-    /// The view in force.
+    /// The current view.
     pub view: &'a View,
-    /// The other instances.
+    /// The known instances.
     pub members: &'a Membership,
-    /// The targets kept here.
+    /// The targets that this instance coordinates.
     pub coordinator: &'a mut TargetCoordinator,
-    /// The tickets issued here.
+    /// The tickets that this instance has issued.
     pub tickets: &'a mut Tickets,
-    /// Breaches.
+    /// Counters of invariant violations.
     pub invariant_counters: &'a mut InvariantCounters,
-    /// Randomness.
+    /// Random number generator.
     pub rng: &'a mut SmallRng,
-    /// How far the view may be trusted.
+    /// Whether the lease on the view is valid, or the instance is fenced.
     pub lease_state: LeaseState,
-    /// Whether no more tickets are issued, since this instance has said its last word.
+    /// Whether no more tickets may be issued because this instance has sent its final report.
     pub issuer_closed: bool,
-    /// Where actions go.
+    /// Receives the outputs.
     pub out: &'a mut Vec<Output>,
 }
 
-/// Counts of requests by how they ended here.
+/// Counts of requests by outcome at this instance.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct RequestCounts {
-    /// Requests taken from callers.
+    /// Requests received from callers.
     pub arrived: u64,
-    /// Requests taken from other instances.
+    /// Requests received from other instances.
     pub passed_in: u64,
-    /// Answered whole.
+    /// Requests that were answered.
     pub answered: u64,
-    /// Refused as not run.
+    /// Requests refused as "not run".
     pub not_run: u64,
-    /// Ended as may have run.
+    /// Requests that ended as "may have run".
     pub may_have_run: u64,
-    /// Tries beyond the first.
+    /// Attempts after the first.
     pub retries: u64,
-    /// Answers that came after their try had been given up.
+    /// Answers received after their attempt had been abandoned.
     pub late_answers: u64,
 }
 
-/// Where a request came from.
+/// Role of this instance in a request, determined by where the request came from.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Role {
-    /// From a caller, without a ticket of another issuer: this instance is entry and owner.
+    /// From a caller, without a ticket of another issuer: this instance is ingress and owner.
     Owner,
-    /// From a caller, with a ticket of another issuer: this instance is only the entry.
+    /// From a caller, with a ticket of another issuer: this instance is only the ingress.
     Ingress,
-    /// From the entry, with a ticket issued here: this instance is the owner.
+    /// From the ingress, with a ticket issued here: this instance is the owner.
     Issuer,
-    /// From the owner: this instance is the keeper.
+    /// From the owner: this instance is the coordinator.
     Coordinator,
 }
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Stage {
-    /// Not placed anywhere yet.
+    /// Not yet dispatched.
     New,
     /// Waits until the view is confirmed.
     Fenced {
-        /// Whether it carries a ticket, of which nothing is known here yet.
+        /// Whether the request carries a ticket whose redemptions are not yet known.
         with_ticket: bool,
     },
-    /// Waits for a run of the same ticket.
+    /// Waits for another request with the same ticket, which is running.
     AwaitingSameTicket,
-    /// At the ticket's issuer.
+    /// Forwarded to the ticket's issuer.
     AtIssuer,
-    /// At a keeper.
+    /// Forwarded to a coordinator.
     AtCoordinator(InstanceId),
-    /// Waits for a slot here.
+    /// Waits for a free slot of a target that this instance coordinates.
     Queued,
-    /// Runs at a target kept here.
+    /// Runs at a target that this instance coordinates.
     Running,
 }
 
@@ -153,11 +156,11 @@
     tried_coordinators: Vec<InstanceId>,
     attempt: AttemptNumber,
     worst_verdict: Verdict,
-    /// Whether a try is under way that a target may be running.
+    /// Whether a target may be running the current attempt.
     may_be_running: bool,
 }
 
-/// All requests that this instance has a part in.
+/// All requests that this instance is handling, in any role.
 #[derive(Clone, Debug, Default)]
 pub struct Requests {
     entries: Map<RequestId, RequestEntry>,
@@ -169,7 +172,7 @@
     counts: RequestCounts,
 }
 
-/// A request that has just come in.
+/// A request that has just been received.
 #[derive(Clone, Copy)]
 struct NewRequest {
     request: RequestId,
@@ -187,19 +190,19 @@
         &self.counts
     }
 
-    /// Returns the requests under way.
+    /// Returns the number of requests in progress.
     #[must_use]
     pub fn under_way(&self) -> usize {
         self.entries.len()
     }
 
-    /// Takes over the view.
+    /// Updates the candidate coordinators to a new view.
     pub fn view_changed(&mut self, view: &View, own_domain: &str) {
         self.selector.view_changed(view, own_domain);
     }
 
-    /// Takes a request from a caller.
-    pub fn arrived(
+    /// Handles a request from a caller.
+    pub fn request_arrived(
         &mut self,
         cx: &mut RequestContext<'_>,
         request: RequestId,
@@ -222,10 +225,9 @@
         self.start(cx, request, ticket);
     }
 
-    /// Begins with a request, or has it wait until the view is confirmed.
+    /// Starts a request, or makes it wait until the view is confirmed.
     ///
-    /// An instance behind its fence cannot tell whether a ticket has run, and a caller told "may have run" has lost
-    /// what it came for; the fence lifts within a fraction of a second.
+    /// A fenced instance cannot know whether a ticket has been redeemed, and a caller that receives "may have run" cannot safely retry; the fence is normally lifted within a fraction of a second.
     fn start(&mut self, cx: &mut RequestContext<'_>, request: RequestId, ticket: Option<&str>) {
         let Some(entry) = self.entries.get_mut(&request) else { return };
         if cx.lease_state == LeaseState::Fenced && entry.role != Role::Coordinator {
@@ -242,7 +244,7 @@
         }
     }
 
-    /// Begins with the requests that waited for the view to be confirmed.
+    /// Starts the requests that waited until the view was confirmed.
     pub fn fence_lifted(&mut self, cx: &mut RequestContext<'_>) {
         for (request, ticket) in std::mem::take(&mut self.fenced) {
             self.start(cx, request, ticket.as_deref());
@@ -250,7 +252,7 @@
         self.start_queued(cx);
     }
 
-    /// Takes a request from another instance.
+    /// Handles a request from another instance.
     pub fn forward_arrived(&mut self, cx: &mut RequestContext<'_>, request: RequestId, head: &ForwardedRequestHeader) {
         self.counts.passed_in += 1;
         let role = match head.purpose {
@@ -274,10 +276,10 @@
         }
     }
 
-    /// Makes an entry for a request, or refuses it at once.
+    /// Adds an entry for a request, or refuses the request; returns whether the entry remains.
     fn register(&mut self, cx: &mut RequestContext<'_>, new_request: NewRequest) -> bool {
         let NewRequest { request, role, service, idempotent, with_ticket, time_left } = new_request;
-        // A refusal before the ticket has been looked at says nothing of earlier tries with it.
+        // A refusal before the ticket has been examined makes no statement about earlier attempts with it.
         let worst_verdict = if with_ticket { Verdict::MayHaveRun } else { Verdict::NotRun };
         let service_entry = cx.view.catalog().service(service);
         let Some(service_entry) = service_entry.filter(|_| self.entries.len() < MAX_REQUESTS) else {
@@ -309,7 +311,7 @@
         true
     }
 
-    /// Passes a request to the instance that issued its ticket.
+    /// Forwards a request to the issuer of its ticket.
     fn forward_to_issuer(&mut self, cx: &mut RequestContext<'_>, request: RequestId, text: &str) {
         let Ok(ticket) = Ticket::parse(text) else {
             return self.refuse(cx, request, Verdict::NotRun, Reason::TicketInvalid);
@@ -333,7 +335,7 @@
         cx.out.push(Output::ForwardRequest { request, to: ticket.issuer, address, head });
     }
 
-    /// Redeems a ticket issued here.
+    /// Redeems a ticket issued by this instance.
     fn redeem(&mut self, cx: &mut RequestContext<'_>, request: RequestId, text: &str) {
         let Some(service) = self.entries.get(&request).map(|entry| entry.service) else { return };
         match cx.tickets.present(cx.now, text, service, request) {
@@ -360,17 +362,17 @@
         }
     }
 
-    /// Offers a request to the best keeper that has not refused it yet.
+    /// Offers a request to the best coordinator that has not been tried yet.
     fn dispatch(&mut self, cx: &mut RequestContext<'_>, request: RequestId) {
         let Some(entry) = self.entries.get_mut(&request) else { return };
         let me = cx.members.me().id;
         let spare = cx.coordinator.spare_slots(cx.now, entry.group, cx.lease_state);
-        let choice = if entry.tried_coordinators.len() < MAX_COORDINATORS_TRIED {
+        let selected = if entry.tried_coordinators.len() < MAX_COORDINATORS_TRIED {
             self.selector.choose(cx.now, entry.group, &entry.tried_coordinators, me, spare, cx.rng)
         } else {
             None
         };
-        let Some(coordinator) = choice else {
+        let Some(coordinator) = selected else {
             let reason = if entry.tried_coordinators.is_empty() { Reason::NoTarget } else { Reason::Overloaded };
             return self.refuse(cx, request, Verdict::NotRun, reason);
         };
@@ -388,7 +390,7 @@
         cx.out.push(Output::ForwardRequest { request, to: coordinator, address, head });
     }
 
-    /// Gives a request a slot of a target kept here, or a place in the queue.
+    /// Gives a request a slot of a target that this instance coordinates, or a place in the queue.
     fn admit_here(&mut self, cx: &mut RequestContext<'_>, request: RequestId) {
         let Some(entry) = self.entries.get_mut(&request) else { return };
         let admission =
@@ -425,7 +427,7 @@
         cx.out.push(Output::Execute { request, attempt, address: target.address, time_left });
     }
 
-    /// Goes on with a request that has not run where it was: the owner tries another keeper.
+    /// Continues with a request that has not run where it was: the owner tries another coordinator.
     fn retry_elsewhere(&mut self, cx: &mut RequestContext<'_>, request: RequestId, reason: Reason) {
         let Some(entry) = self.entries.get_mut(&request) else { return };
         entry.may_be_running = false;
@@ -437,8 +439,8 @@
         }
     }
 
-    /// Goes on with a request of which a try may have run: only an idempotent one is tried again, within the budget.
-    fn may_have_run(&mut self, cx: &mut RequestContext<'_>, request: RequestId, reason: Reason) {
+    /// Continues with a request that may have run: only an idempotent one is retried, within the retry budget.
+    fn handle_unknown_outcome(&mut self, cx: &mut RequestContext<'_>, request: RequestId, reason: Reason) {
         let Some(entry) = self.entries.get_mut(&request) else { return };
         entry.worst_verdict = Verdict::MayHaveRun;
         entry.may_be_running = false;
@@ -449,7 +451,7 @@
         self.refuse(cx, request, Verdict::MayHaveRun, reason);
     }
 
-    /// Takes the word of an instance that a request was passed to.
+    /// Handles the reply of an instance to which a request was forwarded.
     pub fn forward_ended(
         &mut self,
         cx: &mut RequestContext<'_>,
@@ -461,34 +463,34 @@
             return self.discard_late_answer(cx, result.ok());
         };
         match (entry.stage, result) {
-            (Stage::AtIssuer, Ok(answer)) => self.answer(cx, request, answer),
+            (Stage::AtIssuer, Ok(answer)) => self.finish_with_answer(cx, request, answer),
             (Stage::AtIssuer, Err(refusal)) => self.refuse(cx, request, refusal.verdict, refusal.reason),
             (Stage::AtCoordinator(coordinator), result) => {
                 self.selector.request_ended(cx.now, coordinator, entry.group, free);
                 match result {
-                    Ok(answer) => self.answer(cx, request, answer),
+                    Ok(answer) => self.finish_with_answer(cx, request, answer),
                     Err(refusal) if refusal.verdict == Verdict::NotRun => {
                         self.retry_elsewhere(cx, request, refusal.reason);
                     }
-                    Err(refusal) => self.may_have_run(cx, request, refusal.reason),
+                    Err(refusal) => self.handle_unknown_outcome(cx, request, refusal.reason),
                 }
             }
             (_, result) => self.discard_late_answer(cx, result.ok()),
         }
     }
 
-    /// Notes that the instance that a request was passed to said nothing.
+    /// Handles the failure of an instance to reply to a forwarded request.
     pub fn forward_failed(&mut self, cx: &mut RequestContext<'_>, request: RequestId, verdict: Verdict) {
         let Some(entry) = self.entries.get(&request) else { return };
         match entry.stage {
-            // Earlier tries with the same ticket may have reached the issuer.
+            // Earlier attempts with the same ticket may have reached the issuer.
             Stage::AtIssuer => self.refuse(cx, request, Verdict::MayHaveRun, Reason::IssuerGone),
             Stage::AtCoordinator(coordinator) => {
                 self.selector.request_ended(cx.now, coordinator, entry.group, Some(0));
                 if verdict == Verdict::NotRun {
                     self.retry_elsewhere(cx, request, Reason::ConnectionBroken);
                 } else {
-                    self.may_have_run(cx, request, Reason::ConnectionBroken);
+                    self.handle_unknown_outcome(cx, request, Reason::ConnectionBroken);
                 }
             }
             _ => {}
@@ -500,7 +502,7 @@
         entry.is_some_and(|entry| entry.stage == Stage::Running && entry.attempt == attempt)
     }
 
-    /// Takes a target's whole answer.
+    /// Handles a target's complete answer.
     pub fn target_answered(
         &mut self,
         cx: &mut RequestContext<'_>,
@@ -512,11 +514,11 @@
             return self.discard_late_answer(cx, Some(answer));
         }
         cx.coordinator.attempt_ended(cx.now, request, AttemptOutcome::Success);
-        self.answer(cx, request, answer);
+        self.finish_with_answer(cx, request, answer);
         self.start_queued(cx);
     }
 
-    /// Takes the failure of a try at a target.
+    /// Handles the failure of an attempt at a target.
     pub fn target_failed(
         &mut self,
         cx: &mut RequestContext<'_>,
@@ -533,30 +535,30 @@
         if refusal.verdict == Verdict::NotRun {
             self.retry_elsewhere(cx, request, refusal.reason);
         } else {
-            self.may_have_run(cx, request, refusal.reason);
+            self.handle_unknown_outcome(cx, request, refusal.reason);
         }
         self.start_queued(cx);
     }
 
-    /// Runs requests that wait, as far as slots are free.
+    /// Starts queued requests as far as slots are free.
     pub fn start_queued(&mut self, cx: &mut RequestContext<'_>) {
         for (request, target) in cx.coordinator.start_queued(cx.now, cx.lease_state, cx.invariant_counters) {
             self.execute(cx, request, target);
         }
     }
 
-    /// Goes on with requests that waited for targets which this instance no longer keeps.
+    /// Continues with requests that were queued for targets which this instance no longer coordinates.
     pub fn retry_after_target_move(&mut self, cx: &mut RequestContext<'_>, requests: Vec<RequestId>) {
         for request in requests {
             self.retry_elsewhere(cx, request, Reason::NoTarget);
         }
     }
 
-    /// Notes that a caller has gone. An idempotent request is given up; one with a ticket goes on, since the caller
-    /// may come back for its answer.
+    /// Handles the disconnection of a caller. An idempotent request is abandoned; a request with a ticket continues,
+    /// since the caller may retry to fetch its answer.
     ///
-    /// A request given up still gets its reply, although nobody waits for it: whoever holds the request lets it go then,
-    /// and would keep it for ever otherwise.
+    /// An abandoned request still gets a reply although no caller waits for it: whoever holds the request releases it
+    /// on the reply, and would otherwise hold it for ever.
     pub fn caller_gone(&mut self, cx: &mut RequestContext<'_>, request: RequestId) {
         if !self.entries.get(&request).is_some_and(|entry| entry.idempotent) {
             return;
@@ -566,7 +568,7 @@
         self.start_queued(cx);
     }
 
-    /// Ends requests whose deadline is over.
+    /// Ends requests whose deadline has passed.
     pub fn expire(&mut self, cx: &mut RequestContext<'_>) {
         while let Some(&(deadline, request)) = self.deadlines.first() {
             if deadline > cx.now {
@@ -578,7 +580,7 @@
         self.start_queued(cx);
     }
 
-    /// Takes a request away from wherever it is; returns whether it may have run there.
+    /// Removes a request from the stage it is in; returns whether it may have run.
     fn abandon(&mut self, cx: &mut RequestContext<'_>, request: RequestId) -> Verdict {
         let Some(entry) = self.entries.get(&request) else { return Verdict::NotRun };
         match entry.stage {
@@ -617,7 +619,7 @@
     }
 }
 
-/// Tells whether a ticket names this life of this instance.
+/// Returns whether a ticket names this incarnation of this instance.
 fn is_issued_here(text: &str, members: &Membership) -> bool {
     let me = members.me();
     Ticket::parse(text).is_ok_and(|ticket| ticket.issuer == me.id && ticket.incarnation == me.incarnation)
--- a/crates/core/src/requests/outcome.rs
+++ b/crates/core/src/requests/outcome.rs
@@ -1,4 +1,4 @@
-//! How requests end: with an answer or a true refusal, told to all who wait for it.
+//! Ends requests with an answer or a correct refusal, sent to every request that waits for the outcome.
 
 use std::time::Duration;
 
@@ -20,7 +20,7 @@
 use hawthornshift_model::ServiceId;
 use hawthornshift_model::Verdict;
 
-/// When a caller that was refused for lack of room is told to come back.
+/// Delay after which a caller should retry a request refused for a transient reason.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl Requests {
@@ -37,8 +37,8 @@
         }
     }
 
-    /// Ends a request, and all that wait for the same ticket, with an answer.
-    pub(super) fn answer(&mut self, cx: &mut RequestContext<'_>, request: RequestId, answer: StoredAnswer) {
+    /// Ends a request with an answer, together with all requests that wait for the same ticket.
+    pub(super) fn finish_with_answer(&mut self, cx: &mut RequestContext<'_>, request: RequestId, answer: StoredAnswer) {
         let Some(entry) = self.remove(request) else { return };
         self.reply_answer(cx, request, &entry, answer.id);
         let Some(serial) = entry.serial else {
@@ -52,7 +52,7 @@
         cx.out.extend(finished_run.dropped.into_iter().map(|answer| Output::ReleaseAnswer { answer }));
     }
 
-    /// Ends a request with an answer that is kept under its ticket.
+    /// Ends a request with an answer that is stored under its ticket.
     pub(super) fn reply_stored_answer(&mut self, cx: &mut RequestContext<'_>, request: RequestId, answer: AnswerId) {
         if let Some(entry) = self.remove(request) {
             self.reply_answer(cx, request, &entry, answer);
@@ -72,7 +72,7 @@
         cx.out.push(Output::Reply { request, reply: Reply::Answer { answer, ticket, free } });
     }
 
-    /// Ends a request, and all that wait for the same ticket, without an answer.
+    /// Ends a request without an answer, together with all requests that wait for the same ticket.
     pub(super) fn refuse(&mut self, cx: &mut RequestContext<'_>, request: RequestId, verdict: Verdict, reason: Reason) {
         let Some(entry) = self.remove(request) else { return };
         let verdict = verdict.max(entry.worst_verdict);
@@ -127,13 +127,14 @@
     }
 }
 
-/// Issues a ticket for the caller's next non-idempotent request; only where the caller is answered from.
+/// Issues a ticket for the caller's next non-idempotent request; only the instance that replies to the caller issues
+/// one.
 fn next_ticket(cx: &mut RequestContext<'_>, role: Role, service: ServiceId, idempotent: bool) -> Option<String> {
     let to_caller = matches!(role, Role::Owner | Role::Ingress);
     (to_caller && !idempotent && !cx.issuer_closed).then(|| cx.tickets.issue(cx.now, service))
 }
 
-/// Tells whether what a request was refused for is likely to pass soon.
+/// Returns whether the reason of a refusal is likely to disappear soon.
 fn is_transient(reason: Reason) -> bool {
     matches!(
         reason,
@@ -146,7 +147,7 @@
     )
 }
 
-/// Returns what a keeper tells the owner of a request about its free slots.
+/// Returns the number of free slots that a coordinator reports to the owner of a request.
 fn free_slots_hint(cx: &RequestContext<'_>, role: Role, group: GroupId) -> Option<u32> {
     (role == Role::Coordinator).then(|| cx.coordinator.spare_slots(cx.now, group, cx.lease_state))
 }
--- a/crates/core/src/requests/routing.rs
+++ b/crates/core/src/requests/routing.rs
@@ -1,8 +1,8 @@
-//! Which keeper a request goes to.
+//! Selection of the coordinator for a request.
 //!
-//! A keeper says on each reply how many slots it has free. That is a hint, and it ages; what this instance has sent
-//! there and not heard of yet is certain, and is taken off. Keepers in this instance's own failure domain go first
-//! while they have room.
+//! A coordinator reports its number of free slots with each reply. That number is a hint and expires. The number of
+//! requests sent to the coordinator and not yet answered is exact, and is subtracted from the hint. Coordinators in
+//! this instance's own failure domain are preferred while they have free slots.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -16,10 +16,10 @@
 use crate::view::View;
 use hawthornshift_model::InstanceId;
 
-/// Age at which a keeper's word of its free slots no longer counts.
+/// Age at which a reported number of free slots is no longer used.
 const FREE_SLOTS_HINT_LIFETIME: Duration = Duration::from_millis(500);
 
-/// An instance that keeps targets of a group.
+/// An instance that coordinates targets of a group.
 #[derive(Clone, Copy, Debug)]
 struct CandidateCoordinator {
     id: InstanceId,
@@ -33,7 +33,7 @@
     at: Timestamp,
 }
 
-/// Who keeps what, and what is known of their free slots.
+/// Coordinators of each target group, with estimates of their free slots.
 #[derive(Clone, Debug, Default)]
 pub struct CoordinatorSelector {
     coordinators: BTreeMap<GroupId, Vec<CandidateCoordinator>>,
@@ -43,7 +43,7 @@
 }
 
 impl CoordinatorSelector {
-    /// Works out who keeps what under a view.
+    /// Determines the coordinators under a view.
     pub fn view_changed(&mut self, view: &View, own_domain: &str) {
         let catalog = view.catalog();
         self.own_domain = catalog.domain_index(own_domain);
@@ -65,7 +65,8 @@
         }
     }
 
-    /// Chooses a keeper of a group that has not been tried; `spare` are the slots that this instance, `me`, has free.
+    /// Selects a coordinator of a group that has not been tried; `spare` is the number of free slots of this instance,
+    /// `me`.
     pub fn choose(
         &self,
         now: Timestamp,
@@ -96,12 +97,12 @@
         i64::from(free) - i64::from(self.outstanding.get(&key).copied().unwrap_or(0))
     }
 
-    /// Notes that a request was passed to a keeper.
+    /// Records that a request was forwarded to a coordinator.
     pub fn request_forwarded(&mut self, coordinator: InstanceId, group: GroupId) {
         *self.outstanding.entry((coordinator, group)).or_default() += 1;
     }
 
-    /// Notes that a keeper has ended a passed request, and what it said of its free slots.
+    /// Records that a coordinator has ended a forwarded request, and the number of free slots that it reported.
     pub fn request_ended(&mut self, now: Timestamp, coordinator: InstanceId, group: GroupId, free: Option<u32>) {
         if let Some(count) = self.outstanding.get_mut(&(coordinator, group)) {
             *count = count.saturating_sub(1);
--- a/crates/core/src/tickets.rs
+++ b/crates/core/src/tickets.rs
@@ -1,17 +1,18 @@
-//! Tickets: how a non-idempotent request runs at most once without any agreement between instances.
+//! Single-use tickets: a non-idempotent request runs at most once, without agreement between instances.
 //!
-//! A ticket names the one life of the one instance that issued it. That instance alone may redeem it, and its own
-//! memory says whether it has. Whoever else gets the ticket passes it to the issuer. When the issuer is gone nobody
-//! can know, and the honest answer is "may have run". An issuer that stops as planned leaves word of which tickets it
-//! redeemed, so that for all others "not run" stays true.
+//! A ticket names the instance that issued it and that instance's incarnation. Only the issuer may redeem the ticket,
+//! and its memory records whether it was redeemed. An instance that receives a ticket of another issuer forwards the
+//! request to the issuer. If the issuer has failed, nobody can know whether the ticket was redeemed, and the verdict is
+//! "may have run". An issuer that stops as planned sends its peers a final report of the tickets it redeemed, so that
+//! "not run" stays correct for all others.
 //!
-//! # What is remembered, and for how long
+//! # What is stored, and for how long
 //!
-//! Nothing is stored for a ticket that was issued but not redeemed: its issue time and service are in it, under a
-//! keyed hash that only the issuer can make. A redemption is remembered for as long as its ticket could come back
-//! (its life) and as long again, so that an expired ticket without a redemption is known not to have run. Answers are
-//! kept within a budget of bytes, the oldest dropped first; a retry then learns that the request ran and that the
-//! answer is gone.
+//! Nothing is stored for a ticket that was issued but not redeemed: the ticket itself carries its issue time, protected
+//! together with the service by a keyed hash that only the issuer can compute. A redemption is stored for twice the
+//! ticket lifetime: while the ticket can be presented, and as long again, so that an expired ticket without a
+//! redemption is known not to have run. Answers are stored up to a limit in bytes and evicted oldest first; a retry is
+//! then refused with the reason that the request ran and its answer is gone.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -33,44 +34,45 @@
 use hawthornshift_model::InstanceId;
 use hawthornshift_model::ServiceId;
 
-/// Number of a ticket within its issuer's life.
+/// Number of a ticket, unique within one incarnation of its issuer.
 pub type Serial = u64;
 
 /// Length of the key that signs tickets, in bytes.
 pub const KEY_BYTES: usize = 32;
-/// Most redemptions remembered; beyond it new ones are refused as "not run".
+/// Maximum number of stored redemptions; beyond it, tickets are refused as "not run".
 const MAX_REDEMPTIONS: usize = 200_000;
-/// Issuers whose last word is remembered.
+/// Maximum number of stopped issuers whose final report is stored.
 const MAX_FINAL_REPORTS: usize = 1_024;
-/// Hexadecimal digits of the keyed hash in a ticket.
+/// Length of the keyed hash in a ticket, in hexadecimal digits.
 const SIGNATURE_HEX_DIGITS: usize = 32;
-/// Longest ticket in bytes that is looked at.
+/// Maximum length of a ticket, in bytes; longer texts are rejected unparsed.
 const MAX_TICKET_BYTES: usize = 160;
 
-/// What a ticket says in plain.
+/// The unsigned fields of a ticket.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Ticket {
-    /// Who issued it.
+    /// Instance that issued the ticket.
     pub issuer: InstanceId,
-    /// In which life.
+    /// Incarnation of the issuer.
     pub incarnation: Incarnation,
-    /// When, in milliseconds of the issuer's clock.
+    /// Issue time, in milliseconds of the issuer's clock.
     issued_ms: u64,
-    /// Its number.
+    /// Number of the ticket.
     pub serial: Serial,
 }
 
-/// A text that is not a ticket.
+/// Error for a text that does not have the format of a ticket.
 #[derive(Debug, Error, Eq, PartialEq)]
 #[error("malformed ticket")]
 pub struct MalformedTicket;
 
 impl Ticket {
-    /// Reads what a ticket says in plain; only the issuer can tell whether it is genuine.
+    /// Parses the fields of a ticket without verifying the signature, which only the issuer can do.
     ///
     /// # Errors
     ///
-    /// Fails on a text of another shape.
+    /// Returns [`MalformedTicket`] if the text is longer than 160 bytes, does not have five fields separated by dots,
+    /// or a field other than the signature is not a hexadecimal number.
     pub fn parse(text: &str) -> Result<Self, MalformedTicket> {
         let (ticket, _) = Self::parse_parts(text)?;
         Ok(ticket)
@@ -102,16 +104,16 @@
     u64::from_str_radix(text, 16).map_err(|_| MalformedTicket)
 }
 
-/// How a redemption stands.
+/// State of a redemption.
 #[derive(Clone, Debug)]
 enum RedemptionState {
-    /// The request runs; these others wait for the same answer.
+    /// The request is running; the requests in `waiting` wait for the same answer.
     Running { waiting: Vec<RequestId> },
-    /// The answer is kept.
+    /// The answer is stored.
     Answered(StoredAnswer),
-    /// It ran, and the answer is no longer kept.
+    /// The request ran, and its answer has been evicted.
     AnswerDropped,
-    /// It may have run, and nothing more will be known.
+    /// The request may have run, and its outcome will never be known.
     Unknown(Refusal),
 }
 
@@ -121,70 +123,70 @@
     remove_at: Timestamp,
 }
 
-/// What becomes of a ticket that is presented to its issuer.
+/// What the issuer does with a presented ticket.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum PresentOutcome {
-    /// It is redeemed now: run the request.
+    /// The ticket has now been redeemed: run the request.
     Run(Serial),
-    /// The request runs already: wait for its answer.
+    /// A request with the same ticket is running: wait for its answer.
     Wait,
-    /// It was never redeemed, and no ticket is any more.
+    /// The ticket was never redeemed, and this issuer no longer redeems tickets.
     Closed,
-    /// It has run: here is its answer.
+    /// The request has run: reply with this stored answer.
     Answer(AnswerId),
-    /// It has run, and the answer is gone.
+    /// The request has run, and its answer is no longer stored.
     AnswerGone,
-    /// It was tried before, and may have run.
+    /// The ticket was redeemed before, and the request may have run.
     Unknown(Refusal),
-    /// The ticket was never given for this service by this life of this instance.
+    /// This incarnation of this instance did not issue the ticket for this service, or the text is malformed.
     Invalid,
-    /// Its time is over and it never ran.
+    /// The ticket has expired and was never redeemed.
     Expired,
-    /// Its time has been over for so long that nobody knows whether it ran.
+    /// The ticket expired so long ago that a redemption would have been removed.
     Forgotten,
-    /// Too many redemptions are remembered to take another.
+    /// The table of redemptions is full.
     Full,
 }
 
-/// What is known of a ticket whose issuer has stopped.
+/// What a stopped issuer reported about a ticket.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ClosedIssuerStatus {
-    /// The issuer said that it never redeemed it.
+    /// The final report shows that the ticket was never redeemed.
     NeverRedeemed,
-    /// The issuer said that it redeemed it.
+    /// The final report lists the ticket as redeemed.
     Redeemed,
-    /// The issuer left no word.
+    /// There is no final report, or it does not cover the ticket.
     Unknown,
 }
 
-/// How an answered or failed run leaves its redemption.
+/// Result of recording the end of a run.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct FinishedRun {
-    /// Requests that waited for the same outcome.
+    /// Requests that were waiting for the outcome of the same ticket.
     pub waiting: Vec<RequestId>,
-    /// Answers dropped to stay within the budget.
+    /// Answers evicted to stay within the limit.
     pub dropped: Vec<AnswerId>,
 }
 
-/// How a run ended.
+/// How the run of a redeemed ticket ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RunOutcome {
     /// With an answer.
     Answered(StoredAnswer),
-    /// Without running: the ticket may be presented again.
+    /// The request did not run; the ticket may be presented again.
     NotRun,
-    /// Nobody knows.
+    /// The request may have run, and its outcome is unknown.
     Unknown(Refusal),
 }
 
-/// The last word of an issuer that has stopped.
+/// Final report of an issuer that has stopped.
 #[derive(Clone, Debug)]
 struct FinalReport {
     known_since_ms: u64,
     redeemed: Set<Serial>,
 }
 
-/// The tickets that this life of this instance has issued.
+/// The tickets issued by this incarnation of this instance, and the final reports of other issuers.
 #[derive(Clone, Debug)]
 pub struct Tickets {
     me: InstanceId,
@@ -194,16 +196,19 @@
     max_answer_bytes: usize,
     next_serial: Serial,
     redemptions: Map<Serial, Redemption>,
-    /// Answers kept, the oldest first.
+    /// Stored answers with their sizes in bytes, oldest first.
     answers: VecDeque<(Serial, usize)>,
     answer_bytes: usize,
-    expiry: VecDeque<(Timestamp, Serial)>,
+    expiry_queue: VecDeque<(Timestamp, Serial)>,
     final_reports: BTreeMap<(InstanceId, Incarnation), FinalReport>,
     is_closed: bool,
 }
 
 impl Tickets {
-    /// Starts without a ticket; `key` must be random, and unknown to anyone else.
+    /// Creates an issuer that has not issued any ticket.
+    ///
+    /// `key` must be random and secret. `lifetime` is the time during which a ticket can be redeemed, and
+    /// `max_answer_bytes` the limit on stored answers.
     #[must_use]
     pub fn new(
         me: InstanceId,
@@ -222,25 +227,25 @@
             redemptions: Map::default(),
             answers: VecDeque::new(),
             answer_bytes: 0,
-            expiry: VecDeque::new(),
+            expiry_queue: VecDeque::new(),
             final_reports: BTreeMap::new(),
             is_closed: false,
         }
     }
 
-    /// Returns the redemptions remembered.
+    /// Returns the number of stored redemptions.
     #[must_use]
     pub fn redemption_count(&self) -> usize {
         self.redemptions.len()
     }
 
-    /// Returns the bytes of the answers kept.
+    /// Returns the total size of the stored answers, in bytes.
     #[must_use]
     pub fn answer_bytes(&self) -> usize {
         self.answer_bytes
     }
 
-    /// Issues a ticket for a request to `service`.
+    /// Issues a ticket for one request to `service`.
     pub fn issue(&mut self, now: Timestamp, service: ServiceId) -> String {
         let ticket = Ticket {
             issuer: self.me,
@@ -261,7 +266,9 @@
         hasher.finalize()
     }
 
-    /// Takes a ticket that names this life of this instance, and says what to do.
+    /// Presents a ticket that names this incarnation of this instance, and returns what to do with the request.
+    ///
+    /// If a request with the same ticket is running, `waiter` is added to the requests that wait for its answer.
     pub fn present(&mut self, now: Timestamp, text: &str, service: ServiceId, waiter: RequestId) -> PresentOutcome {
         let Ok((ticket, signature)) = Ticket::parse_parts(text) else { return PresentOutcome::Invalid };
         if !self.is_genuine(&ticket, signature, service) {
@@ -296,22 +303,22 @@
     }
 
     fn is_genuine(&self, ticket: &Ticket, signature: &str, service: ServiceId) -> bool {
-        let ours = ticket.issuer == self.me && ticket.incarnation == self.incarnation;
+        let is_own = ticket.issuer == self.me && ticket.incarnation == self.incarnation;
         let expected = self.sign(&ticket.payload(), service).to_hex();
-        // Hashes are compared in constant time, so that a signature cannot be guessed digit by digit.
+        // Hashes of the signatures are compared in constant time, so that a signature cannot be guessed digit by digit.
         let digest = |text: &str| blake3::hash(text.as_bytes());
-        ours && ticket.serial < self.next_serial && digest(signature) == digest(&expected[..SIGNATURE_HEX_DIGITS])
+        is_own && ticket.serial < self.next_serial && digest(signature) == digest(&expected[..SIGNATURE_HEX_DIGITS])
     }
 
     fn record_redemption(&mut self, now: Timestamp, serial: Serial) {
-        // Kept for twice the life from now, which is later than twice the life from issue.
+        // Two lifetimes from now end later than two lifetimes from the issue of the ticket.
         let remove_at = now + self.lifetime * 2;
         let redemption = Redemption { state: RedemptionState::Running { waiting: Vec::new() }, remove_at };
         self.redemptions.insert(serial, redemption);
-        self.expiry.push_back((remove_at, serial));
+        self.expiry_queue.push_back((remove_at, serial));
     }
 
-    /// Notes how the run of a redeemed ticket ended.
+    /// Records how the run of a redeemed ticket ended.
     pub fn finish_run(
         &mut self,
         serial: Serial,
@@ -326,7 +333,7 @@
         };
         let former = std::mem::replace(&mut redemption.state, state);
         let RedemptionState::Running { waiting } = former else {
-            // A second end of one ticket means that it ran twice.
+            // A second end of the same ticket means that the request ran twice.
             invariant_counters.assert(false, Invariant::TicketRunsOnce);
             return FinishedRun::default();
         };
@@ -340,7 +347,7 @@
         FinishedRun { waiting, dropped: self.evict_answers() }
     }
 
-    /// Drops the oldest answers until the rest fit the budget.
+    /// Evicts the oldest answers until the rest fit the limit.
     fn evict_answers(&mut self) -> Vec<AnswerId> {
         let mut dropped = Vec::new();
         while self.answer_bytes > self.max_answer_bytes {
@@ -355,7 +362,7 @@
         dropped
     }
 
-    /// Takes a request off the list of those that wait for an answer.
+    /// Removes a request from those that wait for the answer of a running request.
     pub fn remove_waiter(&mut self, request: RequestId) {
         for redemption in self.redemptions.values_mut() {
             if let RedemptionState::Running { waiting } = &mut redemption.state {
@@ -364,17 +371,17 @@
         }
     }
 
-    /// Forgets redemptions whose tickets are long over; returns the answers to drop.
+    /// Removes redemptions two lifetimes after they were made; returns the answers to release.
     pub fn expire(&mut self, now: Timestamp) -> Vec<AnswerId> {
         let mut dropped = Vec::new();
-        while let Some((_, serial)) = self.expiry.pop_front_if(|(at, _)| *at <= now) {
+        while let Some((_, serial)) = self.expiry_queue.pop_front_if(|(at, _)| *at <= now) {
             let is_due = self.redemptions.get(&serial).is_some_and(|redemption| redemption.remove_at <= now);
             let is_running = matches!(
                 self.redemptions.get(&serial).map(|redemption| &redemption.state),
                 Some(RedemptionState::Running { .. })
             );
             if is_running {
-                self.expiry.push_back((now + self.lifetime, serial));
+                self.expiry_queue.push_back((now + self.lifetime, serial));
                 break;
             }
             if !is_due {
@@ -390,12 +397,12 @@
         dropped
     }
 
-    /// Redeems no ticket from here on, so that the last word stays true.
+    /// Stops redeeming tickets, so that the final report stays correct.
     pub fn close(&mut self) {
         self.is_closed = true;
     }
 
-    /// Returns the last words of other issuers, as the messages that pass them on.
+    /// Returns the final reports of other issuers as messages for a peer.
     pub fn final_reports(&self) -> impl Iterator<Item = PeerMessage> {
         self.final_reports.iter().map(|((issuer, incarnation), report)| {
             let mut redeemed: Vec<Serial> = report.redeemed.iter().copied().collect();
@@ -405,7 +412,7 @@
         })
     }
 
-    /// Returns the serials of all redeemed tickets that could still come back.
+    /// Returns the serial numbers of all stored redemptions, in ascending order.
     #[must_use]
     pub fn redeemed(&self) -> Vec<Serial> {
         let mut serials: Vec<Serial> = self.redemptions.keys().copied().collect();
@@ -413,13 +420,14 @@
         serials
     }
 
-    /// Returns the issue time, in milliseconds of this instance's clock, from which on every redemption is remembered.
+    /// Returns the earliest issue time, in milliseconds of this instance's clock, from which every redemption is
+    /// stored.
     #[must_use]
     pub fn known_since_ms(&self, now: Timestamp) -> u64 {
         u64::try_from(now.saturating_sub(self.lifetime * 2).as_millis()).unwrap_or(u64::MAX)
     }
 
-    /// Notes the last word of an issuer that has stopped.
+    /// Stores the final report of an issuer that has stopped.
     pub fn issuer_closed(
         &mut self,
         issuer: InstanceId,
@@ -434,13 +442,13 @@
         self.final_reports.insert((issuer, incarnation), report);
     }
 
-    /// Returns what is known of a ticket whose issuer has stopped.
+    /// Returns what a stopped issuer reported about a ticket.
     #[must_use]
     pub fn closed_issuer_status(&self, ticket: &Ticket) -> ClosedIssuerStatus {
         match self.final_reports.get(&(ticket.issuer, ticket.incarnation)) {
             None => ClosedIssuerStatus::Unknown,
             Some(report) if report.redeemed.contains(&ticket.serial) => ClosedIssuerStatus::Redeemed,
-            // So old that its redemption, if there was one, had been forgotten when the issuer stopped.
+            // The ticket is so old that the issuer would have removed its redemption before it stopped.
             Some(report) if ticket.issued_ms < report.known_since_ms => ClosedIssuerStatus::Unknown,
             Some(_) => ClosedIssuerStatus::NeverRedeemed,
         }
