--- a/crates/core/src/node/lifecycle.rs
+++ b/crates/core/src/node/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The life of a node, and its planned stop.
+//! Lifecycle of a node, and its planned stop.
 
 use std::time::Duration;
 
@@ -11,25 +11,25 @@
 use crate::message::PeerMessage;
 use hawthornshift_model::InstanceId;
 
-/// Time that the last word of a stopping instance is given to reach its peers.
-const FAREWELL: Duration = Duration::from_millis(200);
-/// Shortest time a planned stop takes, so that every peer has left this instance out of its view before it ends.
-const MIN_DRAIN: Duration = Duration::from_secs(1);
+/// Time for the final report of a stopping instance to reach its peers.
+const CLOSING_TIME: Duration = Duration::from_millis(200);
+/// Minimum duration of a planned stop, so that every peer has removed this instance from its view before it exits.
+const MIN_DRAIN_TIME: Duration = Duration::from_secs(1);
 
-/// Where a node stands in its life.
+/// Phase in the lifecycle of a node.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum Phase {
-    /// It has no set yet.
+    /// It has no configuration set yet.
     Starting,
-    /// It serves.
+    /// It is serving.
     Serving,
-    /// It stops as planned and finishes what it has.
+    /// It is stopping as planned and finishes its flows, streams and requests.
     Stopping { since: Timestamp },
-    /// It has said its last word and waits for it to arrive.
-    Farewell { since: Timestamp },
-    /// It is done.
+    /// It has sent its final report and waits for its delivery.
+    Closing { since: Timestamp },
+    /// The planned stop has finished.
     Stopped,
-    /// A newer life of it exists.
+    /// A newer incarnation of this instance exists.
     Superseded,
 }
 
@@ -38,7 +38,7 @@
         match self {
             Self::Starting => "starting",
             Self::Serving => "serving",
-            Self::Stopping { .. } | Self::Farewell { .. } => "stopping",
+            Self::Stopping { .. } | Self::Closing { .. } => "stopping",
             Self::Stopped => "stopped",
             Self::Superseded => "superseded",
         }
@@ -46,7 +46,7 @@
 }
 
 impl Node {
-    /// Begins a planned stop: leaves every view, hands over what it holds, and finishes what it runs.
+    /// Starts a planned stop: the node leaves all views, hands over its flows, and finishes its requests.
     pub(super) fn stop(&mut self, now: Timestamp) {
         if matches!(self.phase, Phase::Starting | Phase::Serving) {
             self.phase = Phase::Stopping { since: now };
@@ -57,20 +57,20 @@
     pub(super) fn tick_phase(&mut self, now: Timestamp, out: &mut Vec<Output>) {
         match self.phase {
             Phase::Stopping { since } => {
-                self.leave_views(now, since, out);
-                let spent = now.saturating_sub(since);
+                self.announce_leaving(now, since, out);
+                let elapsed = now.saturating_sub(since);
                 let idle = self.flows.held() == 0 && self.streams.is_empty() && self.requests.under_way() == 0;
-                let alone = self.membership.reachable().next().is_none();
-                let done = spent >= MIN_DRAIN && (idle || alone && self.requests.under_way() == 0);
-                if done || spent >= self.tuning.drain {
-                    self.say_farewell(now, out);
+                let is_alone = self.membership.reachable().next().is_none();
+                let done = elapsed >= MIN_DRAIN_TIME && (idle || is_alone && self.requests.under_way() == 0);
+                if done || elapsed >= self.tuning.drain {
+                    self.send_final_report(now, out);
                 }
             }
-            Phase::Farewell { since } => {
-                let spent = now.saturating_sub(since);
-                // The fabric may have handed in more meanwhile.
+            Phase::Closing { since } => {
+                let elapsed = now.saturating_sub(since);
+                // The fabric may have delivered more requests meanwhile.
                 let idle = self.requests.under_way() == 0;
-                if spent >= FAREWELL && idle || spent >= self.tuning.drain {
+                if elapsed >= CLOSING_TIME && idle || elapsed >= self.tuning.drain {
                     self.phase = Phase::Stopped;
                     out.push(Output::Stopped);
                 }
@@ -79,28 +79,29 @@
         }
     }
 
-    /// Tells every peer at once that this instance is leaving, and takes itself out of its own view.
-    pub(super) fn leave_views(&mut self, now: Timestamp, since: Timestamp, out: &mut Vec<Output>) {
+    /// Informs all peers that this instance is leaving, and removes it from its own view.
+    pub(super) fn announce_leaving(&mut self, now: Timestamp, since: Timestamp, out: &mut Vec<Output>) {
         if self.view.serves(self.membership.me().id) {
             self.rebuild_view(now, out);
         }
-        // Repeated, since a peer may miss the first word; heartbeats carry it anyway.
-        if now.saturating_sub(since) < MIN_DRAIN && self.rng.random_ratio(1, 4) || now == since {
-            self.tell_everyone(out);
+        // Sent repeatedly, since a peer may miss the first message; heartbeats carry the state in any case.
+        if now.saturating_sub(since) < MIN_DRAIN_TIME && self.rng.random_ratio(1, 4) || now == since {
+            self.broadcast_heartbeat(out);
         }
     }
 
-    pub(super) fn tell_everyone(&mut self, out: &mut Vec<Output>) {
+    pub(super) fn broadcast_heartbeat(&mut self, out: &mut Vec<Output>) {
         let peers: Vec<InstanceId> = self.membership.reachable().map(|update| update.id).collect();
         for to in peers {
-            let heartbeat = self.heartbeat(0, false, to);
+            let heartbeat = self.create_heartbeat(0, false, to);
             self.send(to, PeerMessage::Ack(heartbeat), out);
         }
     }
 
-    /// Says which tickets were redeemed. From here on none is, or the word would be untrue.
-    pub(super) fn say_farewell(&mut self, now: Timestamp, out: &mut Vec<Output>) {
-        self.phase = Phase::Farewell { since: now };
+    /// Sends the list of redeemed tickets to all peers. No ticket is redeemed from here on, since the list would then
+    /// be incomplete.
+    pub(super) fn send_final_report(&mut self, now: Timestamp, out: &mut Vec<Output>) {
+        self.phase = Phase::Closing { since: now };
         self.membership.depart();
         self.tickets.close();
         let MemberUpdate { id: issuer, incarnation, .. } = *self.membership.me();
--- a/crates/core/src/requests/mod.rs
+++ b/crates/core/src/requests/mod.rs
@@ -1,17 +1,19 @@
-//! Requests: from the caller over the ticket's issuer and a target's keeper to the target, and back.
+//! Requests: from the caller through the ticket's issuer and a target's coordinator to the target, and back.
 //!
-//! An instance can have any of three parts in one request, each at most once:
+//! An instance can have any of three roles in one request, each at most once:
 //!
-//! - *entry*: it took the request from the caller. It passes one that carries a ticket to the ticket's issuer.
-//! - *owner*: it decides how often the request is tried. For a ticket that is the issuer, else the entry.
-//! - *keeper*: it keeps a target and runs the request there when a slot is free.
+//! - *ingress*: it received the request from the caller. It forwards a request that carries a ticket to the ticket's
+//!   issuer.
+//! - *owner*: it decides about retries. The owner of a request with a ticket is the ticket's issuer; otherwise it is
+//!   the ingress.
+//! - *coordinator*: it coordinates a target and runs the request there when a slot is free.
 //!
-//! # When "not run" may be said
+//! # When "not run" may be returned
 //!
-//! The verdict speaks of the request, not of one try: a retry with the same ticket is the same request. So of a
-//! ticket only its issuer says "not run", which knows every redemption; an entry that cannot reach the issuer says
-//! "may have run" even though it did nothing itself. Along a request's way verdicts only get worse ([`Verdict`] is
-//! ordered); `worst` in each entry sees to that.
+//! The verdict applies to the request, not to one attempt: a retry with the same ticket is the same request. Only the
+//! issuer of a ticket returns "not run" for it, because only the issuer knows every redemption; an ingress that cannot
+//! reach the issuer returns "may have run" although it did nothing with the request itself. Along the path of a request
+//! verdicts only get worse ([`Verdict`] is ordered); the field `worst_verdict` of each entry ensures that.
 
 pub mod budget;
 mod outcome;
@@ -24,7 +26,7 @@
 use serde::Serialize;
 
 use self::budget::RetryBudget;
-use self::routing::Routing;
+use self::routing::CoordinatorSelector;
 use crate::Timestamp;
 use crate::catalog::GroupId;
 use crate::coordinator::Admission;
@@ -39,7 +41,7 @@
 use crate::maps::Map;
 use crate::membership::Membership;
 use crate::message::ForwardedRequestHeader;
-use crate::message::PassPurpose;
+use crate::message::ForwardedRequestPurpose;
 use crate::message::Reason;
 use crate::message::Refusal;
 use crate::tickets::ClosedIssuerStatus;
@@ -55,94 +57,95 @@
 use hawthornshift_model::TargetId;
 use hawthornshift_model::Verdict;
 
-/// Keepers that a request is offered to at most.
-const MAX_KEEPERS: usize = 4;
-/// Most requests that one instance handles at once.
+/// Maximum number of coordinators to which one request is offered.
+const MAX_COORDINATORS_TRIED: usize = 4;
+/// Maximum number of requests that one instance handles at the same time.
 const MAX_REQUESTS: usize = 20_000;
-/// What each hop takes off the time left, so that the instance nearest the target gives up first and can say why.
-const HOP_MARGIN: Duration = Duration::from_millis(20);
+/// Each hop subtracts this from the remaining time, so that the instance nearest the target times out first and can
+/// report the reason.
+const HOP_TIMEOUT_MARGIN: Duration = Duration::from_millis(20);
 
-/// What the request decisions look at and act on besides their own state.
-pub struct RequestCx<'a> {
-    /// The present time.
+/// State that request handling reads and changes besides its own.
+pub struct RequestContext<'a> {
+    /// Current time.
     pub now: Timestamp,
-    /// The view in force.
+    /// The current view.
     pub view: &'a View,
-    /// The other instances.
+    /// The known instances.
     pub members: &'a Membership,
-    /// The targets kept here.
+    /// The targets that this instance coordinates.
     pub coordinator: &'a mut TargetCoordinator,
-    /// The tickets issued here.
+    /// The tickets that this instance has issued.
     pub tickets: &'a mut Tickets,
-    /// Breaches.
+    /// Counters of invariant violations.
     pub invariant_counters: &'a mut InvariantCounters,
-    /// Randomness.
+    /// Random number generator.
     pub rng: &'a mut SmallRng,
-    /// How far the view may be trusted.
+    /// Whether the lease on the view is valid, or the instance is fenced.
     pub lease_state: LeaseState,
-    /// Whether no more tickets are issued, since this instance has said its last word.
-    pub closed: bool,
-    /// Where actions go.
+    /// Whether no more tickets may be issued because this instance has sent its final report.
+    pub issuer_closed: bool,
+    /// Receives the outputs.
     pub out: &'a mut Vec<Output>,
 }
 
-/// Counts of requests by how they ended here.
+/// Counts of requests by outcome at this instance.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct RequestCounts {
-    /// Requests taken from callers.
+    /// Requests received from callers.
     pub arrived: u64,
-    /// Requests taken from other instances.
+    /// Requests received from other instances.
     pub passed_in: u64,
-    /// Answered whole.
+    /// Requests that were answered.
     pub answered: u64,
-    /// Refused as not run.
+    /// Requests refused as "not run".
     pub not_run: u64,
-    /// Ended as may have run.
+    /// Requests that ended as "may have run".
     pub may_have_run: u64,
-    /// Tries beyond the first.
+    /// Attempts after the first.
     pub retries: u64,
-    /// Answers that came after their try had been given up.
+    /// Answers received after their attempt had been abandoned.
     pub late_answers: u64,
 }
 
-/// Where a request came from.
+/// Role of this instance in a request, determined by where the request came from.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Part {
-    /// From a caller, without a ticket of another issuer: this instance is entry and owner.
+enum Role {
+    /// From a caller, without a ticket of another issuer: this instance is ingress and owner.
     Owner,
-    /// From a caller, with a ticket of another issuer: this instance is only the entry.
-    Entry,
-    /// From the entry, with a ticket issued here: this instance is the owner.
+    /// From a caller, with a ticket of another issuer: this instance is only the ingress.
+    Ingress,
+    /// From the ingress, with a ticket issued here: this instance is the owner.
     Issuer,
-    /// From the owner: this instance is the keeper.
+    /// From the owner: this instance is the coordinator.
     Coordinator,
 }
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Stage {
-    /// Not placed anywhere yet.
+    /// Not yet dispatched.
     New,
     /// Waits until the view is confirmed.
     Fenced {
-        /// Whether it carries a ticket, of which nothing is known here yet.
+        /// Whether the request carries a ticket whose redemptions are not yet known.
         with_ticket: bool,
     },
-    /// Waits for a run of the same ticket.
-    Waiting,
-    /// At the ticket's issuer.
+    /// Waits for another request with the same ticket, which is running.
+    AwaitingSameTicket,
+    /// Forwarded to the ticket's issuer.
     AtIssuer,
-    /// At a keeper.
+    /// Forwarded to a coordinator.
     AtCoordinator(InstanceId),
-    /// Waits for a slot here.
+    /// Waits for a free slot of a target that this instance coordinates.
     Queued,
-    /// Runs at a target kept here.
+    /// Runs at a target that this instance coordinates.
     Running,
 }
 
 #[derive(Clone, Debug)]
-struct Entry {
-    part: Part,
+struct RequestEntry {
+    role: Role,
     service: ServiceId,
     group: GroupId,
     class: Class,
@@ -150,30 +153,30 @@
     deadline: Timestamp,
     stage: Stage,
     serial: Option<Serial>,
-    tried: Vec<InstanceId>,
+    tried_coordinators: Vec<InstanceId>,
     attempt: AttemptNumber,
-    worst: Verdict,
-    /// Whether a try is under way that a target may be running.
-    exposed: bool,
+    worst_verdict: Verdict,
+    /// Whether a target may be running the current attempt.
+    may_be_running: bool,
 }
 
-/// All requests that this instance has a part in.
+/// All requests that this instance is handling, in any role.
 #[derive(Clone, Debug, Default)]
 pub struct Requests {
-    entries: Map<RequestId, Entry>,
+    entries: Map<RequestId, RequestEntry>,
     deadlines: BTreeSet<(Timestamp, RequestId)>,
     /// Requests that wait until the view is confirmed, with their tickets.
     fenced: Vec<(RequestId, Option<String>)>,
-    routing: Routing,
+    selector: CoordinatorSelector,
     budget: RetryBudget,
     counts: RequestCounts,
 }
 
-/// A request that has just come in.
+/// A request that has just been received.
 #[derive(Clone, Copy)]
-struct Arrived {
+struct NewRequest {
     request: RequestId,
-    part: Part,
+    role: Role,
     service: ServiceId,
     idempotent: bool,
     with_ticket: bool,
@@ -187,21 +190,21 @@
         &self.counts
     }
 
-    /// Returns the requests under way.
+    /// Returns the number of requests in progress.
     #[must_use]
     pub fn under_way(&self) -> usize {
         self.entries.len()
     }
 
-    /// Takes over the view.
+    /// Updates the candidate coordinators to a new view.
     pub fn view_changed(&mut self, view: &View, own_domain: &str) {
-        self.routing.view_changed(view, own_domain);
+        self.selector.view_changed(view, own_domain);
     }
 
-    /// Takes a request from a caller.
-    pub fn arrived(
+    /// Handles a request from a caller.
+    pub fn request_arrived(
         &mut self,
-        cx: &mut RequestCx<'_>,
+        cx: &mut RequestContext<'_>,
         request: RequestId,
         service: ServiceId,
         idempotent: bool,
@@ -209,108 +212,107 @@
         timeout: Option<Duration>,
     ) {
         self.counts.arrived += 1;
-        let part = match ticket {
-            Some(text) if !idempotent && !is_own(text, cx.members) => Part::Entry,
-            _ => Part::Owner,
+        let role = match ticket {
+            Some(text) if !idempotent && !is_issued_here(text, cx.members) => Role::Ingress,
+            _ => Role::Owner,
         };
         let with_ticket = ticket.is_some() && !idempotent;
-        let arrived = Arrived { request, part, service, idempotent, with_ticket, time_left: timeout };
-        if !self.enter(cx, arrived) {
+        let new_request = NewRequest { request, role, service, idempotent, with_ticket, time_left: timeout };
+        if !self.register(cx, new_request) {
             return;
         }
-        self.budget.earn();
-        self.begin(cx, request, ticket);
+        self.budget.deposit();
+        self.start(cx, request, ticket);
     }
 
-    /// Begins with a request, or has it wait until the view is confirmed.
+    /// Starts a request, or makes it wait until the view is confirmed.
     ///
-    /// An instance behind its fence cannot tell whether a ticket has run, and a caller told "may have run" has lost
-    /// what it came for; the fence lifts within a fraction of a second.
-    fn begin(&mut self, cx: &mut RequestCx<'_>, request: RequestId, ticket: Option<&str>) {
+    /// A fenced instance cannot know whether a ticket has been redeemed, and a caller that receives "may have run" cannot safely retry; the fence is normally lifted within a fraction of a second.
+    fn start(&mut self, cx: &mut RequestContext<'_>, request: RequestId, ticket: Option<&str>) {
         let Some(entry) = self.entries.get_mut(&request) else { return };
-        if cx.lease_state == LeaseState::Fenced && entry.part != Part::Coordinator {
+        if cx.lease_state == LeaseState::Fenced && entry.role != Role::Coordinator {
             entry.stage = Stage::Fenced { with_ticket: ticket.is_some() };
             self.fenced.push((request, ticket.map(str::to_owned)));
             return;
         }
-        match (entry.part, ticket) {
-            (Part::Coordinator, _) => self.keep(cx, request),
-            (Part::Owner, _) if entry.idempotent => self.dispatch(cx, request),
+        match (entry.role, ticket) {
+            (Role::Coordinator, _) => self.admit_here(cx, request),
+            (Role::Owner, _) if entry.idempotent => self.dispatch(cx, request),
             (_, None) => self.refuse(cx, request, Verdict::NotRun, Reason::TicketRequired),
-            (Part::Entry, Some(text)) => self.pass_to_issuer(cx, request, text),
-            (Part::Owner | Part::Issuer, Some(text)) => self.redeem(cx, request, text),
+            (Role::Ingress, Some(text)) => self.forward_to_issuer(cx, request, text),
+            (Role::Owner | Role::Issuer, Some(text)) => self.redeem(cx, request, text),
         }
     }
 
-    /// Begins with the requests that waited for the view to be confirmed.
-    pub fn fence_lifted(&mut self, cx: &mut RequestCx<'_>) {
+    /// Starts the requests that waited until the view was confirmed.
+    pub fn fence_lifted(&mut self, cx: &mut RequestContext<'_>) {
         for (request, ticket) in std::mem::take(&mut self.fenced) {
-            self.begin(cx, request, ticket.as_deref());
+            self.start(cx, request, ticket.as_deref());
         }
         self.start_queued(cx);
     }
 
-    /// Takes a request from another instance.
-    pub fn passed(&mut self, cx: &mut RequestCx<'_>, request: RequestId, head: &ForwardedRequestHeader) {
+    /// Handles a request from another instance.
+    pub fn forward_arrived(&mut self, cx: &mut RequestContext<'_>, request: RequestId, head: &ForwardedRequestHeader) {
         self.counts.passed_in += 1;
-        let part = match head.purpose {
-            PassPurpose::Redeem { .. } => Part::Issuer,
-            PassPurpose::Keep => Part::Coordinator,
+        let role = match head.purpose {
+            ForwardedRequestPurpose::Redeem { .. } => Role::Issuer,
+            ForwardedRequestPurpose::Execute => Role::Coordinator,
         };
-        let arrived = Arrived {
+        let new_request = NewRequest {
             request,
-            part,
+            role,
             service: head.service,
             idempotent: head.idempotent,
-            with_ticket: part == Part::Issuer,
+            with_ticket: role == Role::Issuer,
             time_left: Some(head.time_left),
         };
-        if !self.enter(cx, arrived) {
+        if !self.register(cx, new_request) {
             return;
         }
         match &head.purpose {
-            PassPurpose::Redeem { ticket } => self.begin(cx, request, Some(ticket)),
-            PassPurpose::Keep => self.begin(cx, request, None),
+            ForwardedRequestPurpose::Redeem { ticket } => self.start(cx, request, Some(ticket)),
+            ForwardedRequestPurpose::Execute => self.start(cx, request, None),
         }
     }
 
-    /// Makes an entry for a request, or refuses it at once.
-    fn enter(&mut self, cx: &mut RequestCx<'_>, arrived: Arrived) -> bool {
-        let Arrived { request, part, service, idempotent, with_ticket, time_left } = arrived;
-        // A refusal before the ticket has been looked at says nothing of earlier tries with it.
-        let worst = if with_ticket { Verdict::MayHaveRun } else { Verdict::NotRun };
-        let known = cx.view.catalog().service(service);
-        let Some(known) = known.filter(|_| self.entries.len() < MAX_REQUESTS) else {
-            let reason = if known.is_some() { Reason::TableFull } else { Reason::UnknownService };
-            self.reply_refusal(cx, request, part, service, Refusal { verdict: worst, reason });
+    /// Adds an entry for a request, or refuses the request; returns whether the entry remains.
+    fn register(&mut self, cx: &mut RequestContext<'_>, new_request: NewRequest) -> bool {
+        let NewRequest { request, role, service, idempotent, with_ticket, time_left } = new_request;
+        // A refusal before the ticket has been examined makes no statement about earlier attempts with it.
+        let worst_verdict = if with_ticket { Verdict::MayHaveRun } else { Verdict::NotRun };
+        let service_entry = cx.view.catalog().service(service);
+        let Some(service_entry) = service_entry.filter(|_| self.entries.len() < MAX_REQUESTS) else {
+            let reason = if service_entry.is_some() { Reason::TableFull } else { Reason::UnknownService };
+            self.reply_refusal(cx, request, role, service, Refusal { verdict: worst_verdict, reason });
             return false;
         };
-        let time_left = time_left.map_or(known.timeout, |timeout| timeout.min(known.timeout));
-        let entry = Entry {
-            part,
+        let time_left = time_left.map_or(service_entry.timeout, |timeout| timeout.min(service_entry.timeout));
+        let entry = RequestEntry {
+            role,
             service,
-            group: known.group_id,
-            class: known.class,
+            group: service_entry.group_id,
+            class: service_entry.class,
             idempotent,
             deadline: cx.now + time_left,
             stage: Stage::New,
             serial: None,
-            tried: Vec::new(),
+            tried_coordinators: Vec::new(),
             attempt: 0,
-            worst: Verdict::NotRun,
-            exposed: false,
+            worst_verdict: Verdict::NotRun,
+            may_be_running: false,
         };
         self.deadlines.insert((entry.deadline, request));
         self.entries.insert(request, entry);
-        if cx.lease_state == LeaseState::Fenced && part == Part::Coordinator {
+        if cx.lease_state == LeaseState::Fenced && role == Role::Coordinator {
             self.refuse(cx, request, Verdict::NotRun, Reason::Fenced);
             return false;
         }
         true
     }
 
-    /// Passes a request to the instance that issued its ticket.
-    fn pass_to_issuer(&mut self, cx: &mut RequestCx<'_>, request: RequestId, text: &str) {
+    /// Forwards a request to the issuer of its ticket.
+    fn forward_to_issuer(&mut self, cx: &mut RequestContext<'_>, request: RequestId, text: &str) {
         let Ok(ticket) = Ticket::parse(text) else {
             return self.refuse(cx, request, Verdict::NotRun, Reason::TicketInvalid);
         };
@@ -328,13 +330,13 @@
         };
         let Some(entry) = self.entries.get_mut(&request) else { return };
         entry.stage = Stage::AtIssuer;
-        let purpose = PassPurpose::Redeem { ticket: text.to_owned() };
-        let head = entry.pass_head(cx.now, purpose);
+        let purpose = ForwardedRequestPurpose::Redeem { ticket: text.to_owned() };
+        let head = entry.forwarded_header(cx.now, purpose);
         cx.out.push(Output::ForwardRequest { request, to: ticket.issuer, address, head });
     }
 
-    /// Redeems a ticket issued here.
-    fn redeem(&mut self, cx: &mut RequestCx<'_>, request: RequestId, text: &str) {
+    /// Redeems a ticket issued by this instance.
+    fn redeem(&mut self, cx: &mut RequestContext<'_>, request: RequestId, text: &str) {
         let Some(service) = self.entries.get(&request).map(|entry| entry.service) else { return };
         match cx.tickets.present(cx.now, text, service, request) {
             PresentOutcome::Run(serial) => {
@@ -342,9 +344,9 @@
                 entry.serial = Some(serial);
                 self.dispatch(cx, request);
             }
-            PresentOutcome::Wait => self.set_stage(request, Stage::Waiting),
+            PresentOutcome::Wait => self.set_stage(request, Stage::AwaitingSameTicket),
             PresentOutcome::Closed => self.refuse(cx, request, Verdict::NotRun, Reason::Stopping),
-            PresentOutcome::Answer(answer) => self.answer_kept(cx, request, answer),
+            PresentOutcome::Answer(answer) => self.reply_stored_answer(cx, request, answer),
             PresentOutcome::AnswerGone => self.refuse(cx, request, Verdict::MayHaveRun, Reason::AnswerGone),
             PresentOutcome::Unknown(refusal) => self.refuse(cx, request, refusal.verdict, refusal.reason),
             PresentOutcome::Invalid => self.refuse(cx, request, Verdict::NotRun, Reason::TicketInvalid),
@@ -360,36 +362,36 @@
         }
     }
 
-    /// Offers a request to the best keeper that has not refused it yet.
-    fn dispatch(&mut self, cx: &mut RequestCx<'_>, request: RequestId) {
+    /// Offers a request to the best coordinator that has not been tried yet.
+    fn dispatch(&mut self, cx: &mut RequestContext<'_>, request: RequestId) {
         let Some(entry) = self.entries.get_mut(&request) else { return };
         let me = cx.members.me().id;
         let spare = cx.coordinator.spare_slots(cx.now, entry.group, cx.lease_state);
-        let choice = if entry.tried.len() < MAX_KEEPERS {
-            self.routing.choose(cx.now, entry.group, &entry.tried, me, spare, cx.rng)
+        let selected = if entry.tried_coordinators.len() < MAX_COORDINATORS_TRIED {
+            self.selector.choose(cx.now, entry.group, &entry.tried_coordinators, me, spare, cx.rng)
         } else {
             None
         };
-        let Some(coordinator) = choice else {
-            let reason = if entry.tried.is_empty() { Reason::NoTarget } else { Reason::Overloaded };
+        let Some(coordinator) = selected else {
+            let reason = if entry.tried_coordinators.is_empty() { Reason::NoTarget } else { Reason::Overloaded };
             return self.refuse(cx, request, Verdict::NotRun, reason);
         };
-        entry.tried.push(coordinator);
+        entry.tried_coordinators.push(coordinator);
         if coordinator == me {
-            return self.keep(cx, request);
+            return self.admit_here(cx, request);
         }
         let Some(address) = cx.members.member(coordinator).map(|update| update.control) else {
             return self.dispatch(cx, request);
         };
         entry.stage = Stage::AtCoordinator(coordinator);
-        entry.exposed = true;
-        let head = entry.pass_head(cx.now, PassPurpose::Keep);
-        self.routing.passed(coordinator, entry.group);
+        entry.may_be_running = true;
+        let head = entry.forwarded_header(cx.now, ForwardedRequestPurpose::Execute);
+        self.selector.request_forwarded(coordinator, entry.group);
         cx.out.push(Output::ForwardRequest { request, to: coordinator, address, head });
     }
 
-    /// Gives a request a slot of a target kept here, or a place in the queue.
-    fn keep(&mut self, cx: &mut RequestCx<'_>, request: RequestId) {
+    /// Gives a request a slot of a target that this instance coordinates, or a place in the queue.
+    fn admit_here(&mut self, cx: &mut RequestContext<'_>, request: RequestId) {
         let Some(entry) = self.entries.get_mut(&request) else { return };
         let admission =
             cx.coordinator.admit(cx.now, request, entry.group, entry.class, cx.lease_state, cx.invariant_counters);
@@ -398,38 +400,38 @@
             Admission::Queued => entry.stage = Stage::Queued,
             Admission::QueuedInsteadOf(displaced) => {
                 entry.stage = Stage::Queued;
-                self.try_elsewhere(cx, displaced, Reason::Overloaded);
+                self.retry_elsewhere(cx, displaced, Reason::Overloaded);
             }
-            Admission::Full => self.try_elsewhere(cx, request, Reason::Overloaded),
-            Admission::NoTarget => self.try_elsewhere(cx, request, Reason::NoTarget),
+            Admission::Full => self.retry_elsewhere(cx, request, Reason::Overloaded),
+            Admission::NoTarget => self.retry_elsewhere(cx, request, Reason::NoTarget),
         }
     }
 
-    fn execute(&mut self, cx: &mut RequestCx<'_>, request: RequestId, target: TargetId) {
+    fn execute(&mut self, cx: &mut RequestContext<'_>, request: RequestId, target: TargetId) {
         let Some(entry) = self.entries.get_mut(&request) else {
             cx.coordinator.attempt_ended(cx.now, request, AttemptOutcome::Cancelled);
             return;
         };
         let Some(target) = cx.view.catalog().target(target) else {
             cx.coordinator.attempt_ended(cx.now, request, AttemptOutcome::Cancelled);
-            return self.try_elsewhere(cx, request, Reason::NoTarget);
+            return self.retry_elsewhere(cx, request, Reason::NoTarget);
         };
         cx.invariant_counters.assert(cx.view.catalog().domains()[target.domain].in_service, Invariant::OutDomainSilent);
         let own = cx.view.catalog().service(entry.service).map(|service| service.group_id);
         cx.invariant_counters.assert(own == Some(target.group_id), Invariant::PacketStaysWithService);
         entry.stage = Stage::Running;
-        entry.exposed = true;
+        entry.may_be_running = true;
         entry.attempt += 1;
         let time_left = entry.deadline.saturating_sub(cx.now);
         let attempt = entry.attempt;
         cx.out.push(Output::Execute { request, attempt, address: target.address, time_left });
     }
 
-    /// Goes on with a request that has not run where it was: the owner tries another keeper.
-    fn try_elsewhere(&mut self, cx: &mut RequestCx<'_>, request: RequestId, reason: Reason) {
+    /// Continues with a request that has not run where it was: the owner tries another coordinator.
+    fn retry_elsewhere(&mut self, cx: &mut RequestContext<'_>, request: RequestId, reason: Reason) {
         let Some(entry) = self.entries.get_mut(&request) else { return };
-        entry.exposed = false;
-        if entry.part == Part::Coordinator {
+        entry.may_be_running = false;
+        if entry.role == Role::Coordinator {
             self.refuse(cx, request, Verdict::NotRun, reason);
         } else {
             self.counts.retries += 1;
@@ -437,58 +439,58 @@
         }
     }
 
-    /// Goes on with a request of which a try may have run: only an idempotent one is tried again, within the budget.
-    fn may_have_run(&mut self, cx: &mut RequestCx<'_>, request: RequestId, reason: Reason) {
+    /// Continues with a request that may have run: only an idempotent one is retried, within the retry budget.
+    fn handle_unknown_outcome(&mut self, cx: &mut RequestContext<'_>, request: RequestId, reason: Reason) {
         let Some(entry) = self.entries.get_mut(&request) else { return };
-        entry.worst = Verdict::MayHaveRun;
-        entry.exposed = false;
-        if entry.idempotent && entry.part != Part::Coordinator && self.budget.spend() {
+        entry.worst_verdict = Verdict::MayHaveRun;
+        entry.may_be_running = false;
+        if entry.idempotent && entry.role != Role::Coordinator && self.budget.try_withdraw() {
             self.counts.retries += 1;
             return self.dispatch(cx, request);
         }
         self.refuse(cx, request, Verdict::MayHaveRun, reason);
     }
 
-    /// Takes the word of an instance that a request was passed to.
-    pub fn pass_ended(
+    /// Handles the reply of an instance to which a request was forwarded.
+    pub fn forward_ended(
         &mut self,
-        cx: &mut RequestCx<'_>,
+        cx: &mut RequestContext<'_>,
         request: RequestId,
         result: Result<StoredAnswer, Refusal>,
         free: Option<u32>,
     ) {
         let Some(entry) = self.entries.get(&request) else {
-            return self.drop_late(cx, result.ok());
+            return self.discard_late_answer(cx, result.ok());
         };
         match (entry.stage, result) {
-            (Stage::AtIssuer, Ok(answer)) => self.answer(cx, request, answer),
+            (Stage::AtIssuer, Ok(answer)) => self.finish_with_answer(cx, request, answer),
             (Stage::AtIssuer, Err(refusal)) => self.refuse(cx, request, refusal.verdict, refusal.reason),
             (Stage::AtCoordinator(coordinator), result) => {
-                self.routing.ended(cx.now, coordinator, entry.group, free);
+                self.selector.request_ended(cx.now, coordinator, entry.group, free);
                 match result {
-                    Ok(answer) => self.answer(cx, request, answer),
+                    Ok(answer) => self.finish_with_answer(cx, request, answer),
                     Err(refusal) if refusal.verdict == Verdict::NotRun => {
-                        self.try_elsewhere(cx, request, refusal.reason);
+                        self.retry_elsewhere(cx, request, refusal.reason);
                     }
-                    Err(refusal) => self.may_have_run(cx, request, refusal.reason),
+                    Err(refusal) => self.handle_unknown_outcome(cx, request, refusal.reason),
                 }
             }
-            (_, result) => self.drop_late(cx, result.ok()),
+            (_, result) => self.discard_late_answer(cx, result.ok()),
         }
     }
 
-    /// Notes that the instance that a request was passed to said nothing.
-    pub fn pass_failed(&mut self, cx: &mut RequestCx<'_>, request: RequestId, verdict: Verdict) {
+    /// Handles the failure of an instance to reply to a forwarded request.
+    pub fn forward_failed(&mut self, cx: &mut RequestContext<'_>, request: RequestId, verdict: Verdict) {
         let Some(entry) = self.entries.get(&request) else { return };
         match entry.stage {
-            // Earlier tries with the same ticket may have reached the issuer.
+            // Earlier attempts with the same ticket may have reached the issuer.
             Stage::AtIssuer => self.refuse(cx, request, Verdict::MayHaveRun, Reason::IssuerGone),
             Stage::AtCoordinator(coordinator) => {
-                self.routing.ended(cx.now, coordinator, entry.group, Some(0));
+                self.selector.request_ended(cx.now, coordinator, entry.group, Some(0));
                 if verdict == Verdict::NotRun {
-                    self.try_elsewhere(cx, request, Reason::ConnectionBroken);
+                    self.retry_elsewhere(cx, request, Reason::ConnectionBroken);
                 } else {
-                    self.may_have_run(cx, request, Reason::ConnectionBroken);
+                    self.handle_unknown_outcome(cx, request, Reason::ConnectionBroken);
                 }
             }
             _ => {}
@@ -500,26 +502,26 @@
         entry.is_some_and(|entry| entry.stage == Stage::Running && entry.attempt == attempt)
     }
 
-    /// Takes a target's whole answer.
+    /// Handles a target's complete answer.
     pub fn target_answered(
         &mut self,
-        cx: &mut RequestCx<'_>,
+        cx: &mut RequestContext<'_>,
         request: RequestId,
         attempt: AttemptNumber,
         answer: StoredAnswer,
     ) {
         if !self.is_current(request, attempt) {
-            return self.drop_late(cx, Some(answer));
+            return self.discard_late_answer(cx, Some(answer));
         }
         cx.coordinator.attempt_ended(cx.now, request, AttemptOutcome::Success);
-        self.answer(cx, request, answer);
+        self.finish_with_answer(cx, request, answer);
         self.start_queued(cx);
     }
 
-    /// Takes the failure of a try at a target.
+    /// Handles the failure of an attempt at a target.
     pub fn target_failed(
         &mut self,
-        cx: &mut RequestCx<'_>,
+        cx: &mut RequestContext<'_>,
         request: RequestId,
         attempt: AttemptNumber,
         refusal: Refusal,
@@ -527,59 +529,59 @@
         if !self.is_current(request, attempt) {
             return;
         }
-        let evidence =
+        let outcome =
             if refusal.reason == Reason::RefusedByTarget { AttemptOutcome::Shed } else { AttemptOutcome::Failed };
-        cx.coordinator.attempt_ended(cx.now, request, evidence);
+        cx.coordinator.attempt_ended(cx.now, request, outcome);
         if refusal.verdict == Verdict::NotRun {
-            self.try_elsewhere(cx, request, refusal.reason);
+            self.retry_elsewhere(cx, request, refusal.reason);
         } else {
-            self.may_have_run(cx, request, refusal.reason);
+            self.handle_unknown_outcome(cx, request, refusal.reason);
         }
         self.start_queued(cx);
     }
 
-    /// Runs requests that wait, as far as slots are free.
-    pub fn start_queued(&mut self, cx: &mut RequestCx<'_>) {
+    /// Starts queued requests as far as slots are free.
+    pub fn start_queued(&mut self, cx: &mut RequestContext<'_>) {
         for (request, target) in cx.coordinator.start_queued(cx.now, cx.lease_state, cx.invariant_counters) {
             self.execute(cx, request, target);
         }
     }
 
-    /// Goes on with requests that waited for targets which this instance no longer keeps.
-    pub fn stranded(&mut self, cx: &mut RequestCx<'_>, requests: Vec<RequestId>) {
+    /// Continues with requests that were queued for targets which this instance no longer coordinates.
+    pub fn retry_after_target_move(&mut self, cx: &mut RequestContext<'_>, requests: Vec<RequestId>) {
         for request in requests {
-            self.try_elsewhere(cx, request, Reason::NoTarget);
+            self.retry_elsewhere(cx, request, Reason::NoTarget);
         }
     }
 
-    /// Notes that a caller has gone. An idempotent request is given up; one with a ticket goes on, since the caller
-    /// may come back for its answer.
+    /// Handles the disconnection of a caller. An idempotent request is abandoned; a request with a ticket continues,
+    /// since the caller may retry to fetch its answer.
     ///
-    /// A request given up still gets its reply, although nobody waits for it: whoever holds the request lets it go then,
-    /// and would keep it for ever otherwise.
-    pub fn caller_gone(&mut self, cx: &mut RequestCx<'_>, request: RequestId) {
+    /// An abandoned request still gets a reply although no caller waits for it: whoever holds the request releases it
+    /// on the reply, and would otherwise hold it for ever.
+    pub fn caller_gone(&mut self, cx: &mut RequestContext<'_>, request: RequestId) {
         if !self.entries.get(&request).is_some_and(|entry| entry.idempotent) {
             return;
         }
-        let verdict = self.give_up(cx, request);
+        let verdict = self.abandon(cx, request);
         self.refuse(cx, request, verdict, Reason::CallerGone);
         self.start_queued(cx);
     }
 
-    /// Ends requests whose deadline is over.
-    pub fn expire(&mut self, cx: &mut RequestCx<'_>) {
+    /// Ends requests whose deadline has passed.
+    pub fn expire(&mut self, cx: &mut RequestContext<'_>) {
         while let Some(&(deadline, request)) = self.deadlines.first() {
             if deadline > cx.now {
                 break;
             }
-            let verdict = self.give_up(cx, request);
+            let verdict = self.abandon(cx, request);
             self.refuse(cx, request, verdict, Reason::DeadlineExceeded);
         }
         self.start_queued(cx);
     }
 
-    /// Takes a request away from wherever it is; returns whether it may have run there.
-    fn give_up(&mut self, cx: &mut RequestCx<'_>, request: RequestId) -> Verdict {
+    /// Removes a request from the stage it is in; returns whether it may have run.
+    fn abandon(&mut self, cx: &mut RequestContext<'_>, request: RequestId) -> Verdict {
         let Some(entry) = self.entries.get(&request) else { return Verdict::NotRun };
         match entry.stage {
             Stage::New | Stage::Fenced { with_ticket: false } => Verdict::NotRun,
@@ -588,8 +590,8 @@
                 cx.coordinator.remove_queued(request);
                 Verdict::NotRun
             }
-            Stage::Waiting => {
-                cx.tickets.stop_waiting(request);
+            Stage::AwaitingSameTicket => {
+                cx.tickets.remove_waiter(request);
                 Verdict::MayHaveRun
             }
             Stage::AtIssuer => {
@@ -597,7 +599,7 @@
                 Verdict::MayHaveRun
             }
             Stage::AtCoordinator(coordinator) => {
-                self.routing.ended(cx.now, coordinator, entry.group, None);
+                self.selector.request_ended(cx.now, coordinator, entry.group, None);
                 cx.out.push(Output::Cancel { request });
                 Verdict::MayHaveRun
             }
@@ -610,15 +612,15 @@
     }
 }
 
-impl Entry {
-    fn pass_head(&self, now: Timestamp, purpose: PassPurpose) -> ForwardedRequestHeader {
-        let time_left = self.deadline.saturating_sub(now).saturating_sub(HOP_MARGIN);
+impl RequestEntry {
+    fn forwarded_header(&self, now: Timestamp, purpose: ForwardedRequestPurpose) -> ForwardedRequestHeader {
+        let time_left = self.deadline.saturating_sub(now).saturating_sub(HOP_TIMEOUT_MARGIN);
         ForwardedRequestHeader { service: self.service, purpose, idempotent: self.idempotent, time_left }
     }
 }
 
-/// Tells whether a ticket names this life of this instance.
-fn is_own(text: &str, members: &Membership) -> bool {
+/// Returns whether a ticket names this incarnation of this instance.
+fn is_issued_here(text: &str, members: &Membership) -> bool {
     let me = members.me();
     Ticket::parse(text).is_ok_and(|ticket| ticket.issuer == me.id && ticket.incarnation == me.incarnation)
 }
