--- a/crates/core/src/direct/answer_times.rs
+++ b/crates/core/src/direct/answer_times.rs
@@ -1,9 +1,10 @@
-//! How long answers usually take on each route, and when one is overdue.
+//! Usual answer times by route, and the time after which an answer is overdue.
 //!
-//! The load that this answers: targets that finish handshakes, take requests and never answer, all of them or a part, while
-//! their health is good. Nothing fails there until callers give up, which takes seconds. An answer is overdue when it has
-//! taken longer than almost any of its route takes, and a request that went elsewhere later has been answered: it is
-//! then the target that does not answer, and not the path to callers, or all targets.
+//! The expected fault: some or all targets complete handshakes and accept requests but never answer, while their
+//! health checks succeed. Without this detection nothing fails until callers time out, which takes seconds. An answer
+//! is overdue when it has taken longer than almost all answers of its route. The target is considered at fault only
+//! if a request of the route that was sent later has been answered, since otherwise the path to callers or all
+//! targets may be at fault.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -13,53 +14,53 @@
 use crate::direct::smoothed_time::Weights;
 use crate::maps::Map;
 
-/// Weights of one more answer.
+/// Weights of a new sample.
 const WEIGHTS: Weights = Weights { time: 0.05, deviation: 0.05 };
-/// Answers of a route before any is called overdue.
-const ENOUGH: u32 = 20;
-/// Mean deviations beyond the usual time from which on an answer is overdue.
+/// Number of answers of a route before any of its answers counts as overdue.
+const MIN_SAMPLES: u32 = 20;
+/// Number of mean deviations beyond the smoothed time after which an answer is overdue.
 const OVERDUE_DEVIATIONS: f64 = 12.0;
 
-/// What is known of one route.
+/// Answer times of one route.
 #[derive(Clone, Copy, Debug)]
-struct Route {
+struct RouteTimes {
     time: SmoothedTime,
     samples: u32,
-    /// Start of the latest request that has been answered.
+    /// When the latest request that has been answered was sent.
     latest_answered: Timestamp,
 }
 
-/// Times of answers on all routes.
+/// Answer times of all routes.
 #[derive(Clone, Debug, Default)]
 pub struct AnswerTimes {
-    routes: Map<SocketAddrV4, Route>,
+    routes: Map<SocketAddrV4, RouteTimes>,
 }
 
 impl AnswerTimes {
-    /// Takes in the time of an answer to a request that was sent to its target at `sent`.
+    /// Records an answer that took `took` after its request was sent to its target at `sent`.
     pub fn answered(&mut self, route: SocketAddrV4, sent: Timestamp, took: Duration) {
-        let first = Route { time: SmoothedTime::new(WEIGHTS), samples: 0, latest_answered: sent };
+        let first = RouteTimes { time: SmoothedTime::new(WEIGHTS), samples: 0, latest_answered: sent };
         let known = self.routes.entry(route).or_insert(first);
         known.time.sample(took);
         known.samples = known.samples.saturating_add(1);
         known.latest_answered = known.latest_answered.max(sent);
     }
 
-    /// Returns the time after which an answer is overdue; `None` while too little is known of the route.
+    /// Returns the time after which an answer is overdue, or `None` while the route has too few answers.
     #[must_use]
     pub fn limit(&self, route: SocketAddrV4) -> Option<Duration> {
-        let known = self.routes.get(&route).filter(|known| known.samples >= ENOUGH)?;
+        let known = self.routes.get(&route).filter(|known| known.samples >= MIN_SAMPLES)?;
         known.time.bound(OVERDUE_DEVIATIONS)
     }
 
-    /// Tells whether the target is to blame for an overdue answer to a request that it was sent at `sent`, as later ones have
-    /// been answered.
+    /// Returns whether a request that was sent after `sent` has been answered. An overdue answer to a request sent at
+    /// `sent` is then the fault of its target.
     #[must_use]
     pub fn has_later_answer(&self, route: SocketAddrV4, sent: Timestamp) -> bool {
         self.routes.get(&route).is_some_and(|known| known.latest_answered > sent)
     }
 
-    /// Forgets routes that are no longer known.
+    /// Removes the routes for which `known` returns false.
     pub fn retain(&mut self, known: impl Fn(SocketAddrV4) -> bool) {
         self.routes.retain(|address, _| known(*address));
     }
--- a/crates/core/src/direct/domain_reach.rs
+++ b/crates/core/src/direct/domain_reach.rs
@@ -1,12 +1,12 @@
-//! Failure domains whose targets seem to be out of reach all together.
+//! Finds failure domains whose targets all appear to be out of reach.
 //!
-//! The load that this answers: a failure domain loses power or is cut off, and its targets stay listed for seconds. With
-//! many targets and few requests for each, an instance that judges each target by itself tries one dead target after the
-//! other. So handshakes that are not finished count against the target's domain as well, unless the domain has answered
-//! since; what an instance finds out is told to its group.
+//! The expected fault: a failure domain loses power or is disconnected, and its targets remain listed for seconds.
+//! With many targets and few requests for each, an instance that evaluates each target on its own would try one dead
+//! target after another. Handshakes that are not completed therefore also count against the target's failure domain,
+//! unless the domain has responded since. Each instance reports its findings to its group.
 //!
-//! A domain is judged like a target, by the rules of [`outlier`](crate::direct::outlier): a suspicion only puts its targets
-//! behind others, ages, and ends with the first answer.
+//! Failure domains follow the same rules as targets in [`outlier`](crate::direct::outlier): a suspicion only ranks
+//! the domain's targets behind others, expires, and ends with the first completed handshake.
 
 use std::time::Duration;
 
@@ -19,53 +19,55 @@
 use crate::maps::Map;
 use hawthornshift_model::TargetId;
 
-/// Time for which an answer from a domain shows that one target's silence is its own.
-const ANSWERED_LATELY: Duration = Duration::from_millis(200);
+/// Time after a completed handshake in a failure domain during which an unresponsive target does not count against
+/// the others of the domain.
+const RECENT_ANSWER_AGE: Duration = Duration::from_millis(200);
 
-/// Number that stands for a failure domain among [`Outliers`].
+/// Hash of a failure domain's name, which identifies it in [`Outliers`].
 type DomainKey = u64;
 
-fn key(domain: &str) -> DomainKey {
+fn domain_key(domain: &str) -> DomainKey {
     xxh3_64(domain.as_bytes())
 }
 
-/// What handshakes have shown of each failure domain.
+/// Handshake history of all failure domains.
 #[derive(Clone, Debug, Default)]
 pub struct DomainReach {
     domains: Outliers,
-    /// Target whose handshake was not finished last: it counts once, however often it is tried.
+    /// Target whose handshake last failed. Consecutive failures of one target count once.
     last_failed: Map<DomainKey, TargetId>,
-    /// When each domain came under suspicion. Targets that have started since are none of those that do not answer.
+    /// When each domain became suspected. Targets that have started since are not among the unresponsive ones.
     suspected_since: Map<DomainKey, Timestamp>,
 }
 
 impl DomainReach {
-    /// Notes that a target of a domain has finished a handshake; tells whether the domain was suspected, so that peers should
-    /// hear of it.
+    /// Records that a target of a domain has completed a handshake. Returns whether the domain was suspected, so that
+    /// peers should be notified.
     ///
-    /// Each instance would else have to find out for itself, and those with few requests would leave the domain idle for long.
+    /// Otherwise each instance would have to find out on its own, and those with few requests would leave the domain
+    /// idle for long.
     pub fn answered(&mut self, now: Timestamp, target: &Target) -> bool {
-        let domain = key(&target.spec.failure_domain);
+        let domain = domain_key(&target.spec.failure_domain);
         let suspected = self.domains.is_suspected(domain);
         if suspected && self.is_newer(domain, target) {
             return false;
         }
-        self.forget(domain);
+        self.clear_suspicion(domain);
         self.domains.answered(now, domain);
         suspected
     }
 
-    /// Takes over from a peer that a suspected domain has answered.
+    /// Records a peer's report that a suspected domain has responded.
     pub fn receive_answer(&mut self, now: Timestamp, domain: &str) {
-        self.forget(key(domain));
-        self.domains.clear(now, key(domain));
+        self.clear_suspicion(domain_key(domain));
+        self.domains.clear(now, domain_key(domain));
     }
 
-    /// Notes that a target of a domain has not finished the handshake of a SYN sent at `sent`.
+    /// Records that a target of a domain has not completed the handshake of a SYN sent at `sent`.
     ///
-    /// Returns for how long to avoid the domain if peers should hear of it.
+    /// Returns the time for which to avoid the domain if peers should be notified.
     pub fn unanswered(&mut self, now: Timestamp, target: &Target, sent: Timestamp) -> Option<Duration> {
-        let domain = key(&target.spec.failure_domain);
+        let domain = domain_key(&target.spec.failure_domain);
         if self.last_failed.insert(domain, target.id) == Some(target.id) {
             return None;
         }
@@ -77,49 +79,52 @@
         Some(avoidance)
     }
 
-    /// Takes over a peer's suspicion of a domain unless it has just answered here.
+    /// Applies a suspicion of a domain reported by a peer, unless the domain has just responded to this instance.
     pub fn receive(&mut self, now: Timestamp, domain: &str, avoidance: Duration) {
-        let domain = key(domain);
+        let domain = domain_key(domain);
         self.domains.apply_suspicion(now, domain, avoidance);
         if self.domains.is_suspected(domain) {
             self.suspected_since.entry(domain).or_insert(now);
         }
     }
 
-    fn forget(&mut self, domain: DomainKey) {
+    fn clear_suspicion(&mut self, domain: DomainKey) {
         self.last_failed.remove(&domain);
         self.suspected_since.remove(&domain);
     }
 
-    /// Tells whether a target has started since its domain came under suspicion.
+    /// Returns whether a target has started since its domain became suspected.
     fn is_newer(&self, domain: DomainKey, target: &Target) -> bool {
         self.suspected_since.get(&domain).is_some_and(|since| target.known_since > *since)
     }
 
-    /// Notes that a SYN goes to a domain; if the domain is suspected, that SYN is its trial.
+    /// Records that a SYN is sent to a domain. If the domain is suspected, the SYN is its trial.
     pub fn tried(&mut self, now: Timestamp, domain: &str) {
-        self.domains.tried(now, key(domain));
+        self.domains.tried(now, domain_key(domain));
     }
 
-    /// Returns since when a domain has been suspected, if its targets go behind those of others; `mine` tells whether it is this
-    /// instance's task to try it again, for the key that stands for it. Targets that started later are not concerned.
+    /// Returns when a domain became suspected, if its targets are currently ranked behind those of others.
+    /// `is_retry_owner` returns whether this instance is responsible for trying the domain with the given key again.
+    /// Targets that started later are not affected.
     pub fn avoided_since(
         &self,
         now: Timestamp,
         domain: &str,
         handshake_timeout: Duration,
-        mine: impl FnOnce(u64) -> bool,
+        is_retry_owner: impl FnOnce(u64) -> bool,
     ) -> Option<Timestamp> {
-        let domain = key(domain);
+        let domain = domain_key(domain);
         let suspected = self.domains.is_suspected(domain);
         let avoided = suspected
-            && self.domains.availability(now, domain, handshake_timeout, || mine(domain)) != Availability::Available;
+            && self.domains.availability(now, domain, handshake_timeout, || is_retry_owner(domain))
+                != Availability::Available;
         avoided.then(|| self.suspected_since.get(&domain).copied().unwrap_or(now))
     }
 
-    /// Tells whether a domain has answered here so lately that one silent target says nothing of the others.
+    /// Returns whether a domain has responded to this instance so recently that one unresponsive target does not
+    /// indicate anything about the others.
     #[must_use]
     pub fn answers(&self, now: Timestamp, domain: &str) -> bool {
-        self.domains.answered_within(now, key(domain), ANSWERED_LATELY)
+        self.domains.answered_within(now, domain_key(domain), RECENT_ANSWER_AGE)
     }
 }
--- a/crates/core/src/direct/mechanisms.rs
+++ b/crates/core/src/direct/mechanisms.rs
@@ -1,7 +1,7 @@
-//! Mechanisms that can be switched off for a trial, to measure what each is worth.
+//! Mechanisms that can be switched off in an experiment, to measure the effect of each.
 //!
-//! All are on unless a trial says otherwise. The invariants that callers rely on do not hang on any switch but those that say
-//! so: they are there to be measured, and not for operation.
+//! All are on by default. The switches are for measurements and not for operation. The guarantees to callers do not
+//! depend on any of them, except where a mechanism states otherwise.
 
 use std::fmt;
 use std::str::FromStr;
@@ -19,74 +19,75 @@
 #[derive(Clone, Copy, Debug, EnumIter, EnumString, Eq, IntoStaticStr, PartialEq, VariantNames)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Mechanism {
-    /// Open requests are reported to the other instances.
+    /// Reports open requests to the other instances.
     LoadReports,
-    /// Targets that do not finish handshakes are avoided.
+    /// Avoids targets that do not complete handshakes.
     OutlierDetection,
-    /// Failure domains whose targets do not finish handshakes are avoided.
+    /// Avoids failure domains whose targets do not complete handshakes.
     DomainReach,
-    /// Targets that owe answers are checked, and open flows of those out of reach are reset.
+    /// Checks targets with overdue answers, and resets open flows of those that are out of reach.
     TargetChecks,
-    /// Targets whose answers look like failures are set aside.
+    /// Ejects targets whose answers look like failures.
     FailureDetection,
-    /// Targets that do not answer, though they finish handshakes, are set aside.
+    /// Ejects targets that complete handshakes but do not answer.
     OverdueDetection,
-    /// A SYN whose handshake is overdue goes to another target.
+    /// Sends a SYN whose handshake is overdue to another target.
     SecondTry,
-    /// New flows wait while all targets are full; without it they are rejected at once.
+    /// Lets new flows wait while all targets are full. Without it they are rejected at once.
     PendingQueue,
-    /// While targets are overloaded an instance bounds what it has open there.
+    /// Limits the open requests of an instance while targets are overloaded.
     AdaptiveLimit,
-    /// Flows that cannot be served by the rate at which slots come free are rejected at once.
+    /// Rejects flows at once that cannot be served at the rate at which slots become free.
     Admission,
-    /// Flows that can no longer be in time wait behind those that can.
+    /// Queues flows that can no longer be in time behind those that can.
     LateLast,
-    /// A target gets a little more than its slots hold, so that none idles.
+    /// Gives a target slightly more requests than it has slots, so that no slot idles.
     TargetReserve,
-    /// Targets of other failure domains cost more.
+    /// Adds a cost to targets of other failure domains.
     RemoteCost,
-    /// Targets that are slower than usual cost more.
+    /// Adds a cost to targets that are slower than usual.
     Slowness,
-    /// An instance that is alone bounds what it places late.
+    /// Limits the late flows that an instance places while it is alone.
     SoloWindow,
-    /// Targets that come back from a silence count as cold. A promise to cold targets hangs on it.
+    /// Treats targets that respond again after they were unresponsive as cold. A guarantee for cold targets depends
+    /// on it.
     ReturningCold,
-    /// An instance that reaches no target asks for no callers.
+    /// Reports an instance that reaches no target as not ready.
     ReadinessByReach,
-    /// What has waited in sockets while the process was paused is dropped. A promise to cold targets hangs on it.
+    /// Drops what has waited in sockets while the process was paused. A guarantee for cold targets depends on it.
     PauseDetection,
-    /// SYNs that come before anything is known are kept.
+    /// Keeps SYNs that arrive before the configuration and the targets are known.
     EarlySyns,
 }
 
-/// Which mechanisms are on.
+/// Set of mechanisms that are on.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Mechanisms {
-    /// A bit for each that is off.
+    /// One bit for each mechanism that is off.
     off: u32,
 }
 
-/// A name that stands for no mechanism.
+/// Error for a name that is not the name of a mechanism.
 #[derive(Debug, Error)]
-#[error("there is no mechanism {name:?}; known are {}", Mechanism::VARIANTS.join(", "))]
+#[error("unknown mechanism {name:?}; the known mechanisms are {}", Mechanism::VARIANTS.join(", "))]
 pub struct UnknownMechanism {
     name: String,
 }
 
 impl Mechanisms {
-    /// Tells whether a mechanism is on.
+    /// Returns whether a mechanism is on.
     #[must_use]
     pub fn has(self, mechanism: Mechanism) -> bool {
         self.off & bit(mechanism) == 0
     }
 
-    /// Returns the same without a mechanism.
+    /// Returns the set without a mechanism.
     #[must_use]
     pub fn without(self, mechanism: Mechanism) -> Self {
         Self { off: self.off | bit(mechanism) }
     }
 
-    /// Returns the names of those that are off.
+    /// Returns the names of the mechanisms that are off.
     #[must_use]
     pub fn off(self) -> Vec<&'static str> {
         Mechanism::iter().filter(|mechanism| !self.has(*mechanism)).map(Into::into).collect()
@@ -97,7 +98,7 @@
     1 << mechanism as u32
 }
 
-/// Reads the names of those that are off, with commas between them; none stands for all on.
+/// Parses a comma-separated list of the mechanisms that are off. An empty list switches none off.
 impl FromStr for Mechanisms {
     type Err = UnknownMechanism;
 
--- a/crates/core/src/direct/outlier.rs
+++ b/crates/core/src/direct/outlier.rs
@@ -1,12 +1,14 @@
-//! Passive outlier detection: which targets seem not to answer, from what callers' packets show.
+//! Passive outlier detection: finds unresponsive targets from the handshakes of callers' connections.
 //!
-//! A target that has died in silence stays listed until its heartbeats have been missed for seconds. Its callers'
-//! packets tell within tens of milliseconds: the handshake is not finished. Health checks would cost the targets slots
-//! and may lie in both directions; handshakes are the requests' own.
+//! A target that has died without a notice stays listed for seconds, until its heartbeats have been missed. Its
+//! callers' packets show the failure within tens of milliseconds, because handshakes are not completed. Health checks
+//! would take up slots of the targets and can be wrong in both directions, whereas the handshakes observed here
+//! belong to the requests themselves.
 //!
-//! A suspicion is never certain, so it ages, and a target that answers is cleared. One that answers again after a
-//! silence in which it may have been restarted is cold until proved otherwise: its entry tells of it only once the store
-//! and the watch have passed it on, and full load in between would make it fall over again.
+//! A suspicion is never certain, so it expires, and a target that responds is cleared. A target that responds again
+//! after it was unresponsive for so long that it may have been restarted counts as cold until shown otherwise. Its
+//! entry states that it is cold only once the store and the watch have delivered it, and full load in the meantime
+//! would overload the target again.
 
 use std::time::Duration;
 
@@ -15,246 +17,256 @@
 use crate::maps::Map;
 use hawthornshift_model::TargetId;
 
-/// Time for which a target is avoided after the first handshake that was not finished; one packet in a hundred may be
-/// lost on a bad link, so it is short.
-const FIRST_AVOIDANCE: Duration = Duration::from_millis(150);
-/// Time for which a target is avoided after the second in a row; doubled by each further one.
-const AVOIDANCE: Duration = Duration::from_millis(600);
+/// Time for which a target is avoided after the first handshake that was not completed. It is short, because one
+/// packet in a hundred may be lost on a bad link.
+const SINGLE_FAILURE_AVOIDANCE: Duration = Duration::from_millis(150);
+/// Time for which a target is avoided after the second handshake in a row that was not completed. It doubles with
+/// each further one.
+const BASE_AVOIDANCE: Duration = Duration::from_millis(600);
 /// Longest time for which a target is avoided before one flow tries it again.
-const LONGEST_AVOIDANCE: Duration = Duration::from_millis(2_400);
-/// Time for which an answer seen here outweighs what peers say of a target.
-const OWN_EVIDENCE: Duration = Duration::from_millis(300);
-/// Handshakes in a row that must fail before peers are told: one may be a lost packet.
-const TELL_AFTER: u32 = 2;
-/// Silence, in all that this instance sees and hears, after which a suspected target may have been restarted. A process
-/// takes longer than that to start; a target that lives ends some request every 40 ms at the usual load.
-const SILENCE: Duration = Duration::from_millis(700);
-/// Time after the end of an avoidance from which on not only the one whose task it is may try a target: it may be on the
-/// other side of a partition.
-const ANYBODY: Duration = Duration::from_millis(2_500);
+const MAX_AVOIDANCE: Duration = Duration::from_millis(2_400);
+/// Time for which a handshake completed through this instance overrides suspicions reported by peers.
+const LOCAL_EVIDENCE_VALIDITY: Duration = Duration::from_millis(300);
+/// Number of failed handshakes in a row from which peers are notified, since a single one may be a lost packet.
+const SUSPECT_AFTER_FAILURES: u32 = 2;
+/// Time without any sign that a suspected target is alive, observed here or reported by a peer, after which it may
+/// have been restarted. A process takes longer than that to start, and a target that is alive completes some request
+/// every 40 ms at the usual load.
+const UNRESPONSIVE_AFTER: Duration = Duration::from_millis(700);
+/// Time after the end of an avoidance from which any instance may try a target. The instance that is responsible for
+/// it may be on the other side of a network partition.
+const ANY_INSTANCE_RETRY_DELAY: Duration = Duration::from_millis(2_500);
 
-/// Time after a suspicion in which signs of life of its target are told to the others.
-const WATCHED: Duration = Duration::from_secs(5);
-/// Age up to which a sign of life speaks against a suspicion that was just heard of.
-const REFUTES: Duration = Duration::from_millis(100);
-/// Time between two such signs that are told: shorter than the silence after which the target may have been restarted.
-const TELL_ALIVE: Duration = Duration::from_millis(300);
-/// Time between two flows that are given to a silent target when no other is left.
-const LAST_RESORT: Duration = Duration::from_millis(250);
+/// Time after a suspicion during which peers are notified when its target responds.
+const LIVENESS_REPORT_WINDOW: Duration = Duration::from_secs(5);
+/// Age up to which a response refutes a suspicion that has just been received.
+const REFUTATION_MAX_AGE: Duration = Duration::from_millis(100);
+/// Interval between two such notifications. It is shorter than the time after which the target may have been
+/// restarted.
+const LIVENESS_REPORT_INTERVAL: Duration = Duration::from_millis(300);
+/// Interval between two flows that are placed on an unresponsive target when no other target is left.
+const LAST_RESORT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What is known of one target's handshakes.
+/// Handshake history of one target.
 #[derive(Clone, Copy, Debug, Default)]
 struct Record {
-    unfinished: u32,
-    last_answer: Option<Timestamp>,
-    /// When it last gave any sign of life, here or to a peer.
-    last_sign: Timestamp,
+    failed_handshakes: u32,
+    last_handshake: Option<Timestamp>,
+    /// When it was last known to be alive, from this instance or a peer.
+    last_alive: Timestamp,
     avoid_until: Timestamp,
-    /// SYN whose fate decides when the avoidance is over; until then no other is risked.
-    trial: Option<Timestamp>,
-    returning_until: Timestamp,
-    /// Until when others are told of its signs of life.
-    watched_until: Timestamp,
-    /// When they were last told.
-    told_alive: Option<Timestamp>,
+    /// When the SYN was sent whose handshake decides whether the avoidance ends. No other SYN is sent there until
+    /// then.
+    trial_sent_at: Option<Timestamp>,
+    cold_until: Timestamp,
+    /// Time until which peers are notified when the target responds.
+    report_liveness_until: Timestamp,
+    /// When peers were last notified that the target responds.
+    liveness_reported_at: Option<Timestamp>,
 }
 
 impl Record {
     fn is_suspected(&self) -> bool {
-        self.unfinished >= TELL_AFTER
+        self.failed_handshakes >= SUSPECT_AFTER_FAILURES
     }
 
-    /// Ends a suspicion by a sign of life.
+    /// Ends a suspicion, because the target is alive.
     fn clear(&mut self, now: Timestamp) {
-        self.unfinished = 0;
+        self.failed_handshakes = 0;
         self.avoid_until = Timestamp::ZERO;
-        self.trial = None;
-        self.last_sign = now;
+        self.trial_sent_at = None;
+        self.last_alive = now;
     }
 
-    /// Tells whether a sign of life should be told now, and takes it as told if so.
-    fn owes_sign(&mut self, now: Timestamp) -> bool {
-        let told = self.told_alive.is_some_and(|at| now.saturating_sub(at) < TELL_ALIVE);
-        let owes = now < self.watched_until && !told;
-        if owes {
-            self.told_alive = Some(now);
+    /// Returns whether peers should now be notified that the target responds, and records the notification if so.
+    fn take_liveness_report(&mut self, now: Timestamp) -> bool {
+        let recently_reported =
+            self.liveness_reported_at.is_some_and(|at| now.saturating_sub(at) < LIVENESS_REPORT_INTERVAL);
+        let report_due = now < self.report_liveness_until && !recently_reported;
+        if report_due {
+            self.liveness_reported_at = Some(now);
         }
-        owes
+        report_due
     }
 
-    fn is_silent(&self, now: Timestamp) -> bool {
-        self.is_suspected() && now.saturating_sub(self.last_sign) >= SILENCE
+    fn is_unresponsive(&self, now: Timestamp) -> bool {
+        self.is_suspected() && now.saturating_sub(self.last_alive) >= UNRESPONSIVE_AFTER
     }
 }
 
-/// How far a target may be used.
+/// Whether a target may receive flows.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Availability {
-    /// Like any other.
+    /// Like any other target.
     Available,
-    /// Only when no other has room: a handshake was not finished, which may mean nothing.
+    /// Only when no other target has room. A handshake was not completed, which may have no significance.
     Suspected,
-    /// Only by a trial: it has been silent for long.
+    /// Only for a trial. The target has been unresponsive for long.
     Unresponsive,
 }
 
-/// Targets that seem not to answer.
+/// Outlier detection for all targets.
 #[derive(Clone, Debug, Default)]
 pub struct Outliers {
     records: Map<TargetId, Record>,
 }
 
 impl Outliers {
-    /// Notes that a target has finished a handshake. Tells whether it was silent for so long before that it may have
-    /// been restarted.
+    /// Records that a target has completed a handshake. Returns whether it was unresponsive before for so long that
+    /// it may have been restarted.
     pub fn answered(&mut self, now: Timestamp, target: TargetId) -> bool {
         let record = self.records.entry(target).or_default();
-        let back = record.is_silent(now);
+        let may_have_restarted = record.is_unresponsive(now);
         record.clear(now);
-        record.last_answer = Some(now);
-        back
+        record.last_handshake = Some(now);
+        may_have_restarted
     }
 
-    /// Tells whether a target has finished a handshake here within a span.
+    /// Returns whether a target has completed a handshake through this instance within `span`.
     #[must_use]
     pub fn answered_within(&self, now: Timestamp, target: TargetId, span: Duration) -> bool {
-        let last = self.records.get(&target).and_then(|record| record.last_answer);
+        let last = self.records.get(&target).and_then(|record| record.last_handshake);
         last.is_some_and(|at| now.saturating_sub(at) < span)
     }
 
-    /// Notes a sign of life of a target that a peer tells of.
+    /// Records that a peer reports a target to be alive.
     pub fn record_liveness(&mut self, now: Timestamp, target: TargetId) {
-        self.records.entry(target).or_default().last_sign = now;
+        self.records.entry(target).or_default().last_alive = now;
     }
 
-    /// Ends a suspicion by the word of a peer that has been answered.
+    /// Ends a suspicion, because a peer reports that the target has responded.
     pub fn clear(&mut self, now: Timestamp, target: TargetId) {
         if let Some(record) = self.records.get_mut(&target) {
             record.clear(now);
         }
     }
 
-    /// Counts a target as cold for a while.
+    /// Treats a target as cold for `cold_time`.
     pub fn mark_cold(&mut self, now: Timestamp, target: TargetId, cold_time: Duration) {
         let record = self.records.entry(target).or_default();
         record.clear(now);
-        record.returning_until = record.returning_until.max(now + cold_time);
+        record.cold_until = record.cold_until.max(now + cold_time);
     }
 
-    /// Notes that a target has answered here; tells whether the others should hear of it, since somebody suspects it.
+    /// Records a response of a target. Returns whether peers should be notified, because an instance suspects the
+    /// target.
     ///
-    /// Without this an instance that has few flows at a target could not tell one that is reached by others from one that
-    /// was restarted, and would hold a target that lost two packets for cold.
+    /// Without this notification, an instance with few flows at a target could not distinguish a target that others
+    /// reach from a restarted one, and would treat a target that lost two packets as cold.
     pub fn answers(&mut self, now: Timestamp, target: TargetId) -> bool {
         let record = self.records.entry(target).or_default();
-        record.last_sign = now;
-        record.owes_sign(now)
+        record.last_alive = now;
+        record.take_liveness_report(now)
     }
 
-    /// Tells whether a suspicion that was just heard of is to be answered by a sign of life that was seen here.
+    /// Returns whether a suspicion that has just been received should be refuted, because the target has responded
+    /// here recently.
     pub fn refutes(&mut self, now: Timestamp, target: TargetId) -> bool {
         let Some(record) = self.records.get_mut(&target) else { return false };
-        now.saturating_sub(record.last_sign) < REFUTES && record.owes_sign(now)
+        now.saturating_sub(record.last_alive) < REFUTATION_MAX_AGE && record.take_liveness_report(now)
     }
 
-    /// Tells whether a target has come back so lately that it counts as cold.
+    /// Returns whether a target counts as cold because it has recently returned.
     #[must_use]
     pub fn is_returning(&self, now: Timestamp, target: TargetId) -> bool {
-        self.records.get(&target).is_some_and(|record| now < record.returning_until)
+        self.records.get(&target).is_some_and(|record| now < record.cold_until)
     }
 
-    /// Notes that a target has not finished the handshake of a SYN sent at `sent`.
+    /// Records that a target has not completed the handshake of a SYN sent at `sent`.
     ///
-    /// Returns for how long to avoid the target if peers should hear of it.
+    /// Returns the time for which to avoid the target if peers should be notified.
     pub fn unanswered(&mut self, now: Timestamp, target: TargetId, sent: Timestamp) -> Option<Duration> {
         let record = self.records.entry(target).or_default();
-        if record.last_answer.is_some_and(|at| at > sent) {
-            // It has answered a later SYN: this one was lost on the way.
+        if record.last_handshake.is_some_and(|at| at > sent) {
+            // It has completed the handshake of a later SYN, so this one was lost on the way.
             return None;
         }
-        record.unfinished += 1;
-        let doublings = record.unfinished.saturating_sub(TELL_AFTER);
-        let avoidance = match record.unfinished {
-            1 => FIRST_AVOIDANCE,
-            _ => backoff::doubled(AVOIDANCE, doublings, LONGEST_AVOIDANCE),
+        record.failed_handshakes += 1;
+        let doublings = record.failed_handshakes.saturating_sub(SUSPECT_AFTER_FAILURES);
+        let avoidance = match record.failed_handshakes {
+            1 => SINGLE_FAILURE_AVOIDANCE,
+            _ => backoff::doubled(BASE_AVOIDANCE, doublings, MAX_AVOIDANCE),
         };
         record.avoid_until = record.avoid_until.max(now + avoidance);
         if record.is_suspected() {
-            record.watched_until = now + WATCHED;
+            record.report_liveness_until = now + LIVENESS_REPORT_WINDOW;
         }
         record.is_suspected().then_some(avoidance)
     }
 
-    /// Notes that a check has found a target to be out of reach; returns for how long to avoid it, as peers should hear.
+    /// Records that a check has found a target to be out of reach. Returns the time for which to avoid it, which
+    /// peers should be notified of.
     pub fn out_of_reach(&mut self, now: Timestamp, target: TargetId) -> Duration {
         let record = self.records.entry(target).or_default();
-        record.unfinished = record.unfinished.max(TELL_AFTER);
-        record.avoid_until = record.avoid_until.max(now + AVOIDANCE);
-        record.watched_until = now + WATCHED;
-        AVOIDANCE
+        record.failed_handshakes = record.failed_handshakes.max(SUSPECT_AFTER_FAILURES);
+        record.avoid_until = record.avoid_until.max(now + BASE_AVOIDANCE);
+        record.report_liveness_until = now + LIVENESS_REPORT_WINDOW;
+        BASE_AVOIDANCE
     }
 
-    /// Takes over a peer's suspicion unless this instance has just seen the target answer.
+    /// Applies a suspicion reported by a peer, unless the target has just completed a handshake through this
+    /// instance.
     pub fn apply_suspicion(&mut self, now: Timestamp, target: TargetId, avoidance: Duration) {
         let record = self.records.entry(target).or_default();
-        record.watched_until = now + WATCHED;
-        if record.last_answer.is_none_or(|at| now.saturating_sub(at) > OWN_EVIDENCE) {
-            let avoidance = avoidance.min(LONGEST_AVOIDANCE);
+        record.report_liveness_until = now + LIVENESS_REPORT_WINDOW;
+        if record.last_handshake.is_none_or(|at| now.saturating_sub(at) > LOCAL_EVIDENCE_VALIDITY) {
+            let avoidance = avoidance.min(MAX_AVOIDANCE);
             record.avoid_until = record.avoid_until.max(now + avoidance);
-            record.unfinished = record.unfinished.max(TELL_AFTER);
+            record.failed_handshakes = record.failed_handshakes.max(SUSPECT_AFTER_FAILURES);
         }
     }
 
-    /// Tells whether a target is suspected, here or by a peer, and has not answered here since.
+    /// Returns whether a target is suspected, by this instance or a peer, and has not responded here since.
     #[must_use]
     pub fn is_suspected(&self, target: TargetId) -> bool {
         self.records.get(&target).is_some_and(Record::is_suspected)
     }
 
-    /// Notes that a SYN goes to a target; if the target is suspected, that SYN is its trial.
+    /// Records that a SYN is sent to a target. If the target is suspected, the SYN is its trial.
     pub fn tried(&mut self, now: Timestamp, target: TargetId) {
-        if let Some(record) = self.records.get_mut(&target).filter(|record| record.unfinished > 0) {
-            record.trial = Some(now);
+        if let Some(record) = self.records.get_mut(&target).filter(|record| record.failed_handshakes > 0) {
+            record.trial_sent_at = Some(now);
         }
     }
 
-    /// Tells how far a target may be used, by an instance whose task it is to try it again or not; `mine` is asked only
-    /// about a silent target, since the answer ranks all instances of the group.
+    /// Returns whether a target may receive flows. `is_retry_owner` returns whether this instance is responsible for
+    /// trying the target again. It is called only for an unresponsive target, because it ranks all instances of the
+    /// group.
     ///
-    /// A handshake takes up to `handshake_timeout`; a trial is decided after two.
+    /// A handshake takes up to `handshake_timeout`. A trial is decided after twice that time.
     #[must_use]
     pub fn availability(
         &self,
         now: Timestamp,
         target: TargetId,
         handshake_timeout: Duration,
-        mine: impl FnOnce() -> bool,
+        is_retry_owner: impl FnOnce() -> bool,
     ) -> Availability {
         let Some(record) = self.records.get(&target) else { return Availability::Available };
-        let on_trial = record.trial.is_some_and(|at| now.saturating_sub(at) < handshake_timeout * 2);
-        if record.is_silent(now) {
-            let anybody = now >= record.avoid_until + ANYBODY;
-            let may_try = now >= record.avoid_until && !on_trial && (anybody || mine());
+        let on_trial = record.trial_sent_at.is_some_and(|at| now.saturating_sub(at) < handshake_timeout * 2);
+        if record.is_unresponsive(now) {
+            let any_instance = now >= record.avoid_until + ANY_INSTANCE_RETRY_DELAY;
+            let may_try = now >= record.avoid_until && !on_trial && (any_instance || is_retry_owner());
             return if may_try { Availability::Available } else { Availability::Unresponsive };
         }
         if now < record.avoid_until || on_trial { Availability::Suspected } else { Availability::Available }
     }
 
-    /// Tells whether a silent target may be tried though others have just been: where nothing else is left, at a rate
-    /// that does no harm to one that has been restarted cold.
+    /// Returns whether an unresponsive target may be tried although it has been tried before, because no other target
+    /// is left. The rate of these trials is low enough for a target that has been restarted and is cold.
     #[must_use]
-    pub fn may_try_last(&self, now: Timestamp, target: TargetId) -> bool {
-        let trial = self.records.get(&target).and_then(|record| record.trial);
-        trial.is_none_or(|at| now.saturating_sub(at) >= LAST_RESORT)
+    pub fn may_try_as_last_resort(&self, now: Timestamp, target: TargetId) -> bool {
+        let trial_sent_at = self.records.get(&target).and_then(|record| record.trial_sent_at);
+        trial_sent_at.is_none_or(|at| now.saturating_sub(at) >= LAST_RESORT_INTERVAL)
     }
 
-    /// Returns the targets that are avoided and for how much longer, for an instance that has just started.
+    /// Returns the avoided targets and the remaining time of each avoidance, for an instance that has just started.
     pub fn avoided(&self, now: Timestamp) -> impl Iterator<Item = (TargetId, Duration)> {
         let left = move |record: &Record| record.avoid_until.saturating_sub(now);
         self.records.iter().map(move |(id, record)| (*id, left(record))).filter(|(_, left)| !left.is_zero())
     }
 
-    /// Forgets targets that are no longer known.
+    /// Removes the targets for which `known` returns false.
     pub fn retain(&mut self, known: impl Fn(TargetId) -> bool) {
         self.records.retain(|id, _| known(*id));
     }
--- a/crates/core/src/direct/pause.rs
+++ b/crates/core/src/direct/pause.rs
@@ -1,35 +1,36 @@
-//! Notices that the process was paused.
+//! Detects pauses of the process.
 //!
-//! A process may be paused, wait for its share of a processor, or sit on a machine that is suspended. When it goes on,
-//! what it believes is old and what waits in its sockets is older: a flow that is placed then goes to a target that may
-//! have left or turned cold meanwhile. A suspended machine's steady clock does not count the time, so the time of day is
-//! looked at too; a step of that clock is taken for a pause, which costs a few flows a short wait.
+//! A process may be stopped, wait for CPU time, or run on a machine that is suspended. When it continues, its state
+//! is outdated and the packets in its sockets are even older: a flow that is placed then may go to a target that has
+//! left or become cold in the meantime. The monotonic clock does not advance while a machine is suspended, so the
+//! wall clock is checked too. A step of the wall clock is treated as a pause, which delays a few flows briefly.
 
 use std::time::Duration;
 
 use crate::Timestamp;
 
-/// Time between two turns above which the process was paused. A turn comes every 50 ms at the least.
-const LIMIT: Duration = Duration::from_millis(400);
+/// Time between two iterations of the event loop from which the process is considered to have been paused. Iterations
+/// are at most 50 ms apart.
+const MIN_PAUSE: Duration = Duration::from_millis(400);
 
-/// The clocks at the last turn.
+/// Both clocks at the last iteration of the event loop.
 #[derive(Clone, Copy, Debug)]
 pub struct PauseDetector {
-    steady: Timestamp,
+    monotonic: Timestamp,
     wall: Duration,
 }
 
 impl PauseDetector {
-    /// Starts at a time of both clocks.
+    /// Creates a detector with the current time of both clocks.
     #[must_use]
-    pub fn new(steady: Timestamp, wall: Duration) -> Self {
-        Self { steady, wall }
+    pub fn new(monotonic: Timestamp, wall: Duration) -> Self {
+        Self { monotonic, wall }
     }
 
-    /// Takes in both clocks at a turn; tells for how long the process was paused if it has.
-    pub fn turn(&mut self, steady: Timestamp, wall: Duration) -> Option<Duration> {
-        let gap = steady.saturating_sub(self.steady).max(wall.saturating_sub(self.wall));
-        *self = Self { steady, wall };
-        (gap >= LIMIT).then_some(gap)
+    /// Records both clocks at an iteration of the event loop. Returns for how long the process was paused, if it was.
+    pub fn turn(&mut self, monotonic: Timestamp, wall: Duration) -> Option<Duration> {
+        let gap = monotonic.saturating_sub(self.monotonic).max(wall.saturating_sub(self.wall));
+        *self = Self { monotonic, wall };
+        (gap >= MIN_PAUSE).then_some(gap)
     }
 }
--- a/crates/core/src/direct/placement.rs
+++ b/crates/core/src/direct/placement.rs
@@ -1,9 +1,11 @@
-//! Which target a new flow goes to.
+//! Selects the target of a new flow.
 //!
-//! The load that this answers: targets with a few slots, each request tens of milliseconds, many instances deciding at
-//! once. A target's cost is the work it would hold with this flow, by its slots, times how much slower than usual it
-//! is. Among equals the own failure domain goes first, since bytes between domains are dear and links between them
-//! fail; then the flow's hash decides, so that instances that decide at the same moment part.
+//! The expected load: targets with a few slots each, requests that take tens of milliseconds, and many instances that
+//! place flows concurrently. The cost of a target is the number of its open requests including the new one, divided
+//! by its slots and multiplied by its slowness relative to the usual request time. The failure domain of the instance
+//! is preferred through a cost for remote targets, because traffic between failure domains is expensive and the links
+//! between them fail. Equal costs are decided by the rendezvous score of the flow's hash, so that instances that
+//! decide concurrently choose different targets.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -24,133 +26,148 @@
 use hawthornshift_model::InstanceId;
 use hawthornshift_model::TargetId;
 
-/// Requests that may wait at a target beyond its slots before flows wait here instead.
+/// Requests that may queue at a target beyond its slots before new flows wait in the pending queue of the instance.
 ///
-/// Word of a request's end reaches an instance some 7 ms late; with nothing waiting a slot would idle for that long,
-/// a sixth of a usual request.
-const WAITING_AT_TARGET: u32 = 2;
-/// Requests beyond its slots that a target is taken to queue; above it a target sheds what it is sent.
-const TARGET_QUEUE: u32 = 6;
-/// What a target of another failure domain costs more, in units of one full set of slots.
-const REMOTE: f64 = 0.26;
-/// The same when other domains' work is not told here, so that it is unknown how full the target is.
-const REMOTE_UNTOLD: f64 = 1.01;
-/// Time between two flows that one instance places on a cold target when all are cold. Restarts and pauses make
-/// instances disagree about whose task that is; five that do still stay within what a cold target bears at the least.
-const COLD_PERIOD: Duration = Duration::from_secs(1);
+/// The end of a request is reported to an instance about 7 ms late. Without queued requests a slot would stay idle
+/// for that time, which is a sixth of a usual request.
+const TARGET_RESERVE: u32 = 2;
+/// Requests beyond its slots that a target is assumed to queue. A target with more than this sheds further requests.
+const TARGET_QUEUE_CAPACITY: u32 = 6;
+/// Cost added to a target of another failure domain, in units of one full set of slots.
+const REMOTE_COST: f64 = 0.26;
+/// Cost added to a target of another failure domain when the load of other domains is not reported to this instance,
+/// so that the target's occupancy is unknown.
+const UNKNOWN_REMOTE_COST: f64 = 1.01;
+/// Interval between two flows that one instance places on the same cold target when all targets are cold. After
+/// restarts and pauses, instances can disagree about which of them is responsible for the target. Five instances that
+/// all consider themselves responsible still stay within the lowest rate that a cold target has to handle.
+const COLD_FLOW_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Part of a service's targets, as a divisor, above which targets that come back together count as warm.
-const MANY_RETURNING: usize = 3;
+/// Divisor of a service's number of targets: if more than this fraction of them returns at the same time, they count
+/// as warm.
+const RETURNING_DIVISOR: usize = 3;
 
-/// How full targets may be for a flow.
+/// How many requests a target may have open for it to be chosen for a flow.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Limit {
-    /// Slots alone: the flow is late already, and must not stand in the way of those that are not.
+    /// As many as it has slots. Used for flows that are already late, which must not delay flows that can still be in
+    /// time.
     Slots,
-    /// Slots and a small reserve: more would wait longer at the target than here.
+    /// As many as it has slots, and a small reserve. Further requests would wait longer at the target than in the
+    /// pending queue.
     Usual,
-    /// As much as targets queue: the flow was sent to a target that does not answer, and cannot wait here any more.
+    /// As many as it has slots and queues. Used for flows that were sent to an unresponsive target and cannot wait
+    /// any longer.
     Full,
 }
 
-/// What came of the search for a target.
+/// Result of the search for a target.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Choice {
-    /// This one.
+    /// The chosen target.
     Target(TargetId),
-    /// There are targets, all as full as the limit allows.
+    /// The service has warm targets, but none of them can take the flow now.
     Full,
-    /// No target may get a flow of this service.
+    /// The service has no warm target that may receive new flows.
     NoTarget,
 }
 
-/// What a choice rests on.
+/// Inputs of a placement decision.
 #[derive(Clone, Copy, Debug)]
 pub struct Placement<'a> {
-    /// The targets.
+    /// The known targets.
     pub directory: &'a Directory,
-    /// What they work on.
+    /// The open requests of each target.
     pub open_requests: &'a OpenRequests,
-    /// Which of them seem not to answer.
+    /// The targets that appear unresponsive.
     pub outliers: &'a Outliers,
-    /// Which failure domains seem not to answer.
+    /// The failure domains that appear unresponsive.
     pub domains: &'a DomainReach,
-    /// Which of them answer with failures.
+    /// The targets that return failures.
     pub failures: &'a Failures,
-    /// How much may be open while targets are overloaded.
+    /// The limits on open requests while targets are overloaded.
     pub limits: &'a AdaptiveLimits,
     /// The failure domain of this instance.
     pub domain: &'a str,
-    /// What is switched off for a trial.
+    /// The mechanisms that are switched off for an experiment.
     pub mechanisms: Mechanisms,
-    /// Whether the work of all failure domains is told here.
+    /// Whether the load of all failure domains is reported to this instance.
     pub all_domains_reported: bool,
-    /// Handshake timeout, for trials of avoided targets.
+    /// Handshake timeout, which determines how long a trial of an avoided target takes.
     pub handshake_timeout: Duration,
-    /// Number of this instance.
+    /// The ID of this instance.
     pub me: InstanceId,
-    /// How many instances serve.
+    /// The number of serving instances.
     pub instances: usize,
-    /// The instances that tell each other of open work, this one included.
+    /// The instances that report open requests to each other, including this one.
     pub group: &'a [InstanceId],
 }
 
 impl Placement<'_> {
-    /// Returns the target for a new flow of a service, never one of `tried`.
+    /// Returns the target for a new flow of a service, excluding the targets in `tried`.
     #[must_use]
     pub fn choose(&self, now: Timestamp, service: &str, hash: u64, limit: Limit, tried: &[TargetId]) -> Choice {
         let warm = |target: &&Target| !self.is_cold(now, target);
         let mut suspicions = PerDomain::default();
-        let mut full = PerDomain::default();
-        let mut any = false;
-        let mut any_in_use = false;
+        let mut reached_limits = PerDomain::default();
+        let mut any_warm = false;
+        let mut any_responsive = false;
         let mut best: Option<(f64, u64, TargetId)> = None;
         let mut best_suspected: Option<(f64, u64, TargetId)> = None;
-        let mut best_silent: Option<(f64, u64, TargetId)> = None;
+        let mut best_unresponsive: Option<(f64, u64, TargetId)> = None;
         for target in self.directory.candidates(now, service).filter(warm) {
-            any = true;
-            any_in_use |= self.outliers.availability(now, target.id, self.handshake_timeout, || false)
+            any_warm = true;
+            any_responsive |= self.outliers.availability(now, target.id, self.handshake_timeout, || false)
                 != Availability::Unresponsive;
             let domain = target.spec.failure_domain.as_str();
-            let bounded = limit != Limit::Full && full.get(domain, || self.is_at_limit(now, service, domain));
-            if tried.contains(&target.id) || !self.has_room(target, limit) || bounded {
+            let at_limit =
+                limit != Limit::Full && reached_limits.get(domain, || self.is_at_limit(now, service, domain));
+            if tried.contains(&target.id) || !self.has_room(target, limit) || at_limit {
                 continue;
             }
             let cost = (self.cost(now, target), rendezvous::score(hash, target.id), target.id);
-            let place =
-                match self.outliers.availability(now, target.id, self.handshake_timeout, || self.is_mine(target.id)) {
-                    Availability::Available if self.failures.is_ejected(now, target.id, || self.is_mine(target.id)) => {
-                        &mut best_suspected
-                    }
-                    Availability::Available
-                        if suspicions
-                            .get(domain, || self.suspicion(now, domain, tried))
-                            .is_some_and(|d| d.concerns(target)) =>
-                    {
-                        &mut best_suspected
-                    }
-                    Availability::Available => &mut best,
-                    Availability::Suspected => &mut best_suspected,
-                    Availability::Unresponsive if self.outliers.may_try_last(now, target.id) => &mut best_silent,
-                    Availability::Unresponsive => continue,
-                };
-            if place.is_none_or(|place| (cost.0, cost.1) < (place.0, place.1)) {
-                *place = Some(cost);
+            let best_of_rank = match self
+                .outliers
+                .availability(now, target.id, self.handshake_timeout, || self.is_retry_owner(target.id))
+            {
+                Availability::Available
+                    if self.failures.is_ejected(now, target.id, || self.is_retry_owner(target.id)) =>
+                {
+                    &mut best_suspected
+                }
+                Availability::Available
+                    if suspicions
+                        .get(domain, || self.suspicion(now, domain, tried))
+                        .is_some_and(|d| d.applies_to(target)) =>
+                {
+                    &mut best_suspected
+                }
+                Availability::Available => &mut best,
+                Availability::Suspected => &mut best_suspected,
+                Availability::Unresponsive if self.outliers.may_try_as_last_resort(now, target.id) => {
+                    &mut best_unresponsive
+                }
+                Availability::Unresponsive => continue,
+            };
+            if best_of_rank.is_none_or(|best_of_rank| (cost.0, cost.1) < (best_of_rank.0, best_of_rank.1)) {
+                *best_of_rank = Some(cost);
             }
         }
-        // A suspicion only orders the targets. When callers' packets begin to reach other instances, handshakes by the
-        // dozen seem not to be finished and most targets are suspected at once; to wait for the few others then costs
-        // seconds, and a try of one that is dead 40 ms, at most as often as it has slots.
-        // One that has long been silent may have been restarted and be cold, so many tries at once could do it harm.
-        let last = if any_in_use { None } else { best_silent };
-        match best.or(best_suspected).or(last) {
+        // Suspicion only affects the order of targets. When callers' packets start to arrive at other instances,
+        // dozens of handshakes appear incomplete and most targets are suspected at once. Waiting for the few others
+        // would cost seconds, whereas trying a dead target costs 40 ms, at most as often as it has slots.
+        // A target that has been unresponsive for long may have been restarted and be cold, so many concurrent trials
+        // could overload it.
+        let last_resort = if any_responsive { None } else { best_unresponsive };
+        match best.or(best_suspected).or(last_resort) {
             Some((_, _, id)) => Choice::Target(id),
-            None if any => Choice::Full,
+            None if any_warm => Choice::Full,
             None => Choice::NoTarget,
         }
     }
 
-    /// Tells whether this instance has as many requests open with a service's targets of a failure domain as it may.
+    /// Returns whether this instance has reached its limit of open requests with a service's targets in a failure
+    /// domain.
     fn is_at_limit(&self, now: Timestamp, service: &str, domain: &str) -> bool {
         if !self.mechanisms.has(Mechanism::AdaptiveLimit) {
             return false;
@@ -160,27 +177,30 @@
         f64::from(usage.open) >= size.max(usage.share)
     }
 
-    /// Returns how this instance stands with a service's targets, those of one failure domain or all.
+    /// Returns the open requests of this instance with a service's targets, and its share of their slots, for one
+    /// failure domain or for all of them.
     ///
-    /// The instances that tell each other of open work share the slots nearby; elsewhere everyone has a small part.
+    /// The instances that report open requests to each other share the slots in their own failure domain. Slots
+    /// elsewhere are divided among all instances.
     #[must_use]
     pub fn usage(&self, now: Timestamp, service: &str, domain: Option<&str>) -> Usage {
-        let inside = |target: &Target| domain.is_none_or(|domain| target.spec.failure_domain == domain);
-        let targets = self.directory.candidates(now, service).filter(|target| inside(target));
+        let in_scope = |target: &Target| domain.is_none_or(|domain| target.spec.failure_domain == domain);
+        let targets = self.directory.candidates(now, service).filter(|target| in_scope(target));
         let slots: u32 = targets.map(|target| target.spec.slots.max(1)).sum();
         let instances = if domain == Some(self.domain) { self.group.len() } else { self.instances };
         let instances = u32::try_from(instances).unwrap_or(u32::MAX).max(1);
         let serves = |id: TargetId| {
-            self.directory.target(id).is_some_and(|target| target.spec.service == service && inside(target))
+            self.directory.target(id).is_some_and(|target| target.spec.service == service && in_scope(target))
         };
-        let open = self.open_requests.own().filter(|(target, _)| serves(*target)).map(|(_, count)| count).sum();
+        let open =
+            self.open_requests.local_counts().filter(|(target, _)| serves(*target)).map(|(_, count)| count).sum();
         Usage { open, share: f64::from(slots) / f64::from(instances) }
     }
 
-    /// Returns which targets of a failure domain go behind others.
+    /// Returns which targets of a failure domain are ranked behind others.
     ///
-    /// All do if one of its targets did not finish this flow's handshake and none has answered since; those that the domain
-    /// had before it came under suspicion do while it is.
+    /// All targets are if one of them did not complete this flow's handshake and none has completed one recently.
+    /// While the domain is suspected, the targets that were known before the suspicion are.
     fn suspicion(&self, now: Timestamp, domain: &str, tried: &[TargetId]) -> Option<DomainSuspicion> {
         if !self.mechanisms.has(Mechanism::DomainReach) {
             return None;
@@ -189,14 +209,17 @@
         if tried.iter().any(of_domain) && !self.domains.answers(now, domain) {
             return Some(DomainSuspicion::All);
         }
-        let mine = |key| self.is_mine(key);
-        self.domains.avoided_since(now, domain, self.handshake_timeout, mine).map(DomainSuspicion::KnownBefore)
+        let is_retry_owner = |key| self.is_retry_owner(key);
+        self.domains
+            .avoided_since(now, domain, self.handshake_timeout, is_retry_owner)
+            .map(DomainSuspicion::KnownBefore)
     }
 
-    /// Tells whether a target is cold by its entry, or may be since it was silent.
+    /// Returns whether a target is cold according to its entry, or may be cold because it was unresponsive before.
     ///
-    /// Where more than a third of a service's targets come back together, a partition has healed or this instance
-    /// was paused, and they are warm; without them the rest would be overloaded.
+    /// If more than a third of a service's targets return at the same time, a network partition has healed or this
+    /// instance was paused. The targets then count as warm, since the remaining ones would be overloaded without
+    /// them.
     #[must_use]
     pub fn is_cold(&self, now: Timestamp, target: &Target) -> bool {
         if target.is_cold(now) {
@@ -208,15 +231,15 @@
         let all = self.directory.candidates(now, &target.spec.service).count();
         let candidates = self.directory.candidates(now, &target.spec.service);
         let returning = candidates.filter(|target| self.outliers.is_returning(now, target.id)).count();
-        returning * MANY_RETURNING <= all.max(MANY_RETURNING)
+        returning * RETURNING_DIVISOR <= all.max(RETURNING_DIVISOR)
     }
 
-    /// Tells whether it is this instance's task to try a silent target again.
-    fn is_mine(&self, target: TargetId) -> bool {
+    /// Returns whether this instance is responsible for trying an unresponsive target again.
+    fn is_retry_owner(&self, target: TargetId) -> bool {
         rendezvous::pick(target, self.group.iter().copied(), u64::from).is_none_or(|id| id == self.me)
     }
 
-    /// Returns the cold targets of a service, which may get a few flows when no warm one is left.
+    /// Returns the cold targets of a service, which may receive a few flows when no warm target is left.
     pub fn cold(&self, now: Timestamp, service: &str) -> impl Iterator<Item = TargetId> {
         self.directory.candidates(now, service).filter(move |target| self.is_cold(now, target)).map(|target| target.id)
     }
@@ -224,8 +247,8 @@
     fn has_room(&self, target: &Target, limit: Limit) -> bool {
         let reserve = match limit {
             Limit::Slots => 0,
-            Limit::Usual => WAITING_AT_TARGET,
-            Limit::Full => TARGET_QUEUE,
+            Limit::Usual => TARGET_RESERVE,
+            Limit::Full => TARGET_QUEUE_CAPACITY,
         };
         self.open_requests.count(target.id) < target.spec.slots.max(1) + reserve
     }
@@ -235,8 +258,8 @@
         let local = target.spec.failure_domain == self.domain;
         let remote = match (local, self.all_domains_reported) {
             (true, _) => 0.0,
-            (false, true) => REMOTE,
-            (false, false) => REMOTE_UNTOLD,
+            (false, true) => REMOTE_COST,
+            (false, false) => UNKNOWN_REMOTE_COST,
         };
         let remote = if self.mechanisms.has(Mechanism::RemoteCost) { remote } else { 0.0 };
         let slowness =
@@ -245,17 +268,17 @@
     }
 }
 
-/// Which targets of a failure domain go behind others.
+/// The targets of a suspected failure domain that are ranked behind others.
 #[derive(Clone, Copy, Debug)]
 enum DomainSuspicion {
     /// All of them.
     All,
-    /// Those that were known at this time: the domain came under suspicion then.
+    /// Those that were already known at this time, when the domain became suspected.
     KnownBefore(Timestamp),
 }
 
 impl DomainSuspicion {
-    fn concerns(self, target: &Target) -> bool {
+    fn applies_to(self, target: &Target) -> bool {
         match self {
             Self::All => true,
             Self::KnownBefore(since) => target.known_since <= since,
@@ -263,7 +286,8 @@
     }
 }
 
-/// What holds for failure domains, found out once for one flow however many targets they have.
+/// Values by failure domain, computed at most once for each domain while one flow is placed, however many targets the
+/// domain has.
 #[derive(Debug)]
 struct PerDomain<'a, T>(Vec<(&'a str, T)>);
 
@@ -284,26 +308,26 @@
     }
 }
 
-/// Flows that this instance placed on cold targets.
+/// Limits the rate of flows that this instance places on cold targets.
 #[derive(Clone, Debug, Default)]
 pub struct SlowStart {
-    next: BTreeMap<TargetId, Timestamp>,
+    next_allowed: BTreeMap<TargetId, Timestamp>,
 }
 
 impl SlowStart {
-    /// Takes one flow for a cold target, if its budget allows.
+    /// Reserves one flow to a cold target. Returns whether the target's interval allows it.
     pub fn take(&mut self, now: Timestamp, target: TargetId) -> bool {
-        let next = self.next.entry(target).or_insert(Timestamp::ZERO);
-        let allowed = *next <= now;
+        let next_allowed = self.next_allowed.entry(target).or_insert(Timestamp::ZERO);
+        let allowed = *next_allowed <= now;
         if allowed {
-            *next = now + COLD_PERIOD;
+            *next_allowed = now + COLD_FLOW_INTERVAL;
         }
         allowed
     }
 
-    /// Notes that a peer has placed a flow on a cold target.
+    /// Records that a peer has placed a flow on a cold target.
     pub fn taken_by_peer(&mut self, now: Timestamp, target: TargetId) {
-        let next = self.next.entry(target).or_insert(Timestamp::ZERO);
-        *next = (*next).max(now + COLD_PERIOD);
+        let next_allowed = self.next_allowed.entry(target).or_insert(Timestamp::ZERO);
+        *next_allowed = (*next_allowed).max(now + COLD_FLOW_INTERVAL);
     }
 }
--- a/crates/core/src/direct/reachability.rs
+++ b/crates/core/src/direct/reachability.rs
@@ -1,16 +1,18 @@
-//! Active checks of targets that do not answer, and which of them are out of reach.
+//! Active health checks of targets that do not answer, which determine the targets that are out of reach.
 //!
-//! A caller on an open flow cannot know that its target has died or lies behind a partition: it repeats its data and
-//! waits until its deadline. A reset lets it open another flow at once, but a reset of a flow whose target lives breaks the
-//! flow, so silence alone is not enough. A target that owes an answer for longer than its requests usually take is asked
-//! for a connection. One that lives accepts it whatever its load, as no slot is taken.
+//! A caller with an open flow cannot detect that its target has died or is behind a network partition: it retransmits
+//! its data and waits until its deadline. A reset lets it open another flow at once, but resetting a flow whose
+//! target is alive breaks the flow, so a missing answer alone is not sufficient. A target that has not answered for
+//! longer than its requests usually take is therefore checked by opening a TCP connection to it. A target that is
+//! alive accepts the connection whatever its load, since no slot is taken.
 //!
-//! A check can fail because of this instance: its link is full, or it waits for its share of a processor. So a target that
-//! has just answered is checked beside it, and the failure counts only if that one accepts; and other instances are asked to
-//! check the target too, as in SWIM (Das, Gupta and Motivala, 2002). The target is out of reach when one of them fails as
-//! well and none succeeds. An instance that knows no other one needs two failures of its own.
+//! A check can fail because of this instance, if its link is saturated or its process waits for CPU time. So a target
+//! that has answered recently is checked at the same time as a reference, and the failure counts only if the
+//! reference accepts its connection. Other instances are asked to check the target too, as in SWIM (Das, Gupta and
+//! Motivala, 2002). The target is out of reach when at least one of them fails as well and none succeeds. An instance
+//! that knows no other instance requires two failed checks of its own.
 //!
-//! Checks are made on suspicion only, and they become rarer while a target stays out of reach.
+//! Targets are checked only on suspicion, and less often while they remain out of reach.
 
 use std::time::Duration;
 
@@ -21,55 +23,57 @@
 use crate::maps::Map;
 use hawthornshift_model::TargetId;
 
-/// Time that a connection may take to be accepted: twenty round trips between failure domains.
+/// Timeout for a connection to be accepted, which is twenty round trips between failure domains.
 pub const CHECK_LIMIT: Duration = Duration::from_millis(40);
-/// Time beyond the limit after which the outcome of a check says nothing, since this process was paused meanwhile.
-const STALL: Duration = Duration::from_millis(40);
-/// Usual times of a request after which a target that has given no sign of life is checked.
-const OVERDUE: f64 = 2.5;
-/// Shortest and longest time after which it is. The longest is for targets that are known to be slow; callers have then
-/// repeated their data once.
+/// Time beyond the timeout after which the outcome of a check is ignored, because this process was paused in the
+/// meantime.
+const STALL_MARGIN: Duration = Duration::from_millis(40);
+/// Ratio to the usual request time after which a target that has sent nothing is checked.
+const OVERDUE_RATIO: f64 = 2.5;
+/// Lower and upper bound of the time after which such a target is checked. The upper bound applies to targets that
+/// are known to be slow. Callers have retransmitted their data once by then.
 const OVERDUE_MIN: Duration = Duration::from_millis(80);
 const OVERDUE_MAX: Duration = Duration::from_millis(400);
-/// Time between two checks of a target that was found to live, unless there is evidence of another kind: one that is slow
-/// owes answers all the time.
+/// Interval between two checks of a target that was found to be alive, unless there is evidence of another kind. A
+/// slow target always has overdue answers.
 const RECHECK_ALIVE: Duration = Duration::from_secs(3);
-/// Time between the first two checks of a target that is out of reach, doubled by each further one.
+/// Interval between the first two checks of a target that is out of reach. It doubles with each further check.
 const RECHECK_FIRST: Duration = Duration::from_millis(300);
-/// Longest time between two checks of one that stays out of reach.
-const RECHECK_LONGEST: Duration = Duration::from_millis(2_400);
-/// Age up to which a sign of life makes a target fit to be checked beside another one.
-const REFERENCE_AGE: Duration = Duration::from_secs(1);
-/// Time for which a failure to reach a target counts, one of its own or another instance's. Both must be of the same trouble.
-const VALID: Duration = Duration::from_secs(5);
-/// Failed checks of its own that an instance needs if there is no other to ask.
-const ALONE: u32 = 2;
-/// Most checks that are under way at once.
+/// Longest interval between two checks of a target that remains out of reach.
+const RECHECK_MAX: Duration = Duration::from_millis(2_400);
+/// Time since the last response of a target up to which it can serve as the reference of a check.
+const REFERENCE_MAX_AGE: Duration = Duration::from_secs(1);
+/// Time for which a failure of this instance or another one to reach a target is valid. Both failures must have the
+/// same cause.
+const FAILURE_VALIDITY: Duration = Duration::from_secs(5);
+/// Number of failed checks that an instance needs if there is no other instance to ask.
+const FAILED_CHECKS_WHEN_ALONE: u32 = 2;
+/// Maximum number of concurrent checks.
 const MAX_CHECKS: usize = 16;
 
-/// What came of a check.
+/// Outcome of a check.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CheckOutcome {
     /// The target accepted a connection.
     Accepted,
-    /// Nobody listens at the target's address.
+    /// The target's address refused the connection, since no process listens on it.
     Refused,
-    /// There was no answer within the limit.
+    /// There was no response within the timeout.
     TimedOut,
 }
 
-/// What follows from the outcome of a check.
+/// Conclusion from the outcome of a check.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Finding {
-    /// The target lives.
+    /// The target is alive.
     Alive,
-    /// Nothing: this instance may be to blame.
+    /// The check is inconclusive, because this instance may be at fault.
     Inconclusive,
-    /// The target was not reached; others have to find the same.
+    /// The target was not reached. Other instances have to confirm this.
     Failed,
-    /// The target has turned out to be out of reach just now.
+    /// The target has just been found to be out of reach.
     OutOfReach,
-    /// It still is.
+    /// The target is still out of reach.
     StillOutOfReach,
 }
 
@@ -77,52 +81,52 @@
 #[derive(Clone, Copy, Debug, Eq, IntoStaticStr, PartialEq)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Reachability {
-    /// As far as is known.
+    /// The target can be reached as far as is known.
     Reachable,
-    /// It does not answer here. It may still work on what it has received before.
+    /// The target does not respond to this instance. It may still process requests that it has received before.
     OutOfReach,
-    /// It is gone, and nothing that it was sent will be answered.
+    /// The target no longer exists, and nothing that was sent to it will be answered.
     Gone,
 }
 
-/// A target that has turned out to be out of reach, or to be reached again.
+/// A change of a target's reachability.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ReachabilityChange {
     /// The target.
     pub target: TargetId,
-    /// What it is now.
+    /// The new reachability.
     pub reachability: Reachability,
-    /// Checks of this instance that had failed in a row.
+    /// Number of checks by this instance that had failed in a row.
     pub failed: u32,
 }
 
-/// What is known of one target.
+/// State of one target.
 #[derive(Clone, Copy, Debug, Default)]
 struct Record {
-    /// When the first packet was sent that it has not answered.
-    owes_since: Option<Timestamp>,
-    last_sign: Timestamp,
-    check_since: Option<Timestamp>,
+    /// When the first packet that the target has not answered was sent.
+    unanswered_since: Option<Timestamp>,
+    last_alive: Timestamp,
+    check_started_at: Option<Timestamp>,
     next_check: Timestamp,
-    /// Checks in a row that have failed, and when the last one did.
+    /// Number of checks that have failed in a row, and the time of the last failure.
     failed: u32,
     failed_at: Timestamp,
-    /// When another instance last failed to reach it.
-    confirmed: Option<Timestamp>,
-    /// Whether another instance has asked for a check.
-    asked: bool,
+    /// When another instance last failed to reach the target.
+    peer_failed_at: Option<Timestamp>,
+    /// Whether another instance has requested a check.
+    check_requested: bool,
     out_of_reach: bool,
     gone: bool,
 }
 
 impl Record {
-    /// Counts the target as out of reach if there is evidence enough; tells whether that is new.
+    /// Marks the target as out of reach if there is sufficient evidence. Returns whether it was not marked before.
     fn conclude(&mut self, now: Timestamp, alone: bool) -> bool {
-        let confirmed = self.confirmed.is_some_and(|at| now.saturating_sub(at) < VALID);
-        let failed = if now.saturating_sub(self.failed_at) < VALID { self.failed } else { 0 };
-        let enough = failed >= 1 && confirmed || failed >= ALONE && alone;
-        let new = enough && !self.out_of_reach;
-        self.out_of_reach |= enough;
+        let confirmed = self.peer_failed_at.is_some_and(|at| now.saturating_sub(at) < FAILURE_VALIDITY);
+        let failed = if now.saturating_sub(self.failed_at) < FAILURE_VALIDITY { self.failed } else { 0 };
+        let sufficient = failed >= 1 && confirmed || failed >= FAILED_CHECKS_WHEN_ALONE && alone;
+        let new = sufficient && !self.out_of_reach;
+        self.out_of_reach |= sufficient;
         if new {
             self.next_check = now + RECHECK_FIRST;
         }
@@ -130,33 +134,33 @@
     }
 }
 
-/// Targets that have been sent something.
+/// Reachability checks of all targets to which packets have been sent.
 #[derive(Clone, Debug, Default)]
 pub struct ReachabilityChecks {
     records: Map<TargetId, Record>,
-    /// When the latest check began that was accepted.
-    accepted: Option<Timestamp>,
+    /// Start of the latest check whose connection was accepted.
+    latest_accepted_start: Option<Timestamp>,
     changes: Vec<ReachabilityChange>,
 }
 
 impl ReachabilityChecks {
-    /// Notes that a target was sent something that it has to answer.
+    /// Records that a packet that a target has to answer was sent to it.
     pub fn sent(&mut self, now: Timestamp, target: TargetId) {
-        self.records.entry(target).or_default().owes_since.get_or_insert(now);
+        self.records.entry(target).or_default().unanswered_since.get_or_insert(now);
     }
 
-    /// Notes a sign of life of a target.
+    /// Records a response of a target.
     pub fn answered(&mut self, now: Timestamp, target: TargetId) {
         if let Some(record) = self.records.get_mut(&target) {
-            let Record { check_since, next_check, failed, out_of_reach, .. } = *record;
+            let Record { check_started_at, next_check, failed, out_of_reach, .. } = *record;
             if out_of_reach {
                 self.changes.push(ReachabilityChange { target, reachability: Reachability::Reachable, failed });
             }
-            *record = Record { last_sign: now, check_since, next_check, ..Record::default() };
+            *record = Record { last_alive: now, check_started_at, next_check, ..Record::default() };
         }
     }
 
-    /// Notes that another instance has seen a target live.
+    /// Records that another instance has found a target to be alive.
     pub fn refuted(&mut self, now: Timestamp, target: TargetId) {
         if let Some(record) = self.records.get_mut(&target).filter(|record| !record.gone) {
             if record.out_of_reach {
@@ -164,16 +168,17 @@
                 self.changes.push(ReachabilityChange { target, reachability: Reachability::Reachable, failed });
             }
             record.failed = 0;
-            record.confirmed = None;
+            record.peer_failed_at = None;
             record.out_of_reach = false;
             record.next_check = record.next_check.max(now + RECHECK_FIRST);
         }
     }
 
-    /// Notes that another instance has failed to reach a target; tells whether it has turned out to be out of reach.
+    /// Records that another instance has failed to reach a target. Returns whether the target has become out of
+    /// reach.
     pub fn confirmed(&mut self, now: Timestamp, target: TargetId) -> bool {
         let record = self.records.entry(target).or_default();
-        record.confirmed = Some(now);
+        record.peer_failed_at = Some(now);
         let (new, failed) = (record.conclude(now, false), record.failed);
         if new {
             self.changes.push(ReachabilityChange { target, reachability: Reachability::OutOfReach, failed });
@@ -181,60 +186,63 @@
         new
     }
 
-    /// Takes what has changed since the last call, for the log.
+    /// Returns the changes since the last call, for the log.
     pub fn take_changes(&mut self) -> Vec<ReachabilityChange> {
         std::mem::take(&mut self.changes)
     }
 
-    /// Tells whether another instance has asked for a check of a target that is not over.
+    /// Returns whether another instance has requested a check of a target that is not finished.
     #[must_use]
     pub fn is_asked(&self, target: TargetId) -> bool {
-        self.records.get(&target).is_some_and(|record| record.asked)
+        self.records.get(&target).is_some_and(|record| record.check_requested)
     }
 
-    /// Gives up a check that cannot be made.
+    /// Abandons a check that cannot be performed.
     pub fn skip(&mut self, now: Timestamp, target: TargetId) {
         if let Some(record) = self.records.get_mut(&target) {
-            record.check_since = None;
-            record.asked = false;
+            record.check_started_at = None;
+            record.check_requested = false;
             record.next_check = now + RECHECK_ALIVE;
         }
     }
 
-    /// Notes that another instance asks for a check of a target.
+    /// Records that another instance requests a check of a target.
     pub fn asked(&mut self, target: TargetId) {
-        self.records.entry(target).or_default().asked = true;
+        self.records.entry(target).or_default().check_requested = true;
     }
 
-    /// Gives every target its time anew, after this process was paused: their answers may not have been read.
+    /// Restarts the time since which each target has not answered, after this process was paused. Answers may have
+    /// arrived that have not been read.
     pub fn restart_deadlines(&mut self, now: Timestamp) {
-        for record in self.records.values_mut().filter(|record| record.owes_since.is_some()) {
-            record.owes_since = Some(now);
+        for record in self.records.values_mut().filter(|record| record.unanswered_since.is_some()) {
+            record.unanswered_since = Some(now);
         }
     }
 
-    /// Notes evidence of another kind that a target does not answer: it is checked as soon as it may be.
+    /// Records evidence of another kind that a target does not answer. The target is checked as soon as the minimum
+    /// interval since its last response allows.
     pub fn suspect(&mut self, now: Timestamp, target: TargetId) {
         if let Some(record) = self.records.get_mut(&target)
-            && let Some(since) = &mut record.owes_since
+            && let Some(since) = &mut record.unanswered_since
         {
             *since = (*since).min(now.saturating_sub(OVERDUE_MAX));
             if !record.out_of_reach {
-                record.next_check = record.next_check.min(now.max(record.last_sign + RECHECK_FIRST));
+                record.next_check = record.next_check.min(now.max(record.last_alive + RECHECK_FIRST));
             }
         }
     }
 
-    /// Returns the targets to be checked now, by the usual time of a request at each, and takes their checks as begun.
+    /// Returns the targets to be checked now and marks their checks as started. `usual` returns the usual request
+    /// time of a target.
     pub fn take_due(&mut self, now: Timestamp, usual: impl Fn(TargetId) -> Duration) -> Vec<TargetId> {
-        let under_way = self.records.values().filter(|record| record.check_since.is_some()).count();
+        let under_way = self.records.values().filter(|record| record.check_started_at.is_some()).count();
         let mut due = Vec::new();
         for (target, record) in &mut self.records {
-            let overdue = usual(*target).mul_f64(OVERDUE).clamp(OVERDUE_MIN, OVERDUE_MAX);
-            let owes = record.owes_since.is_some_and(|since| now.saturating_sub(since) >= overdue);
-            let wanted = record.asked || (owes && now >= record.next_check);
-            if wanted && record.check_since.is_none() && under_way + due.len() < MAX_CHECKS {
-                record.check_since = Some(now);
+            let overdue = usual(*target).mul_f64(OVERDUE_RATIO).clamp(OVERDUE_MIN, OVERDUE_MAX);
+            let is_overdue = record.unanswered_since.is_some_and(|since| now.saturating_sub(since) >= overdue);
+            let wanted = record.check_requested || (is_overdue && now >= record.next_check);
+            if wanted && record.check_started_at.is_none() && under_way + due.len() < MAX_CHECKS {
+                record.check_started_at = Some(now);
                 due.push(*target);
             }
         }
@@ -244,31 +252,33 @@
         due
     }
 
-    /// Begins a check of the target that has answered last, if that was of late.
+    /// Starts a check of the target that has responded last, if it has responded recently.
     fn begin_reference_check(&mut self, now: Timestamp, due: &[TargetId]) -> Option<TargetId> {
-        let free = |id: &TargetId, record: &Record| record.check_since.is_none() && !due.contains(id);
-        let lately = |record: &Record| record.failed == 0 && now.saturating_sub(record.last_sign) < REFERENCE_AGE;
-        let fit = self.records.iter_mut().filter(|(id, record)| free(id, record) && lately(record));
-        let (target, record) = fit.max_by_key(|(id, record)| (record.last_sign, **id))?;
-        record.check_since = Some(now);
+        let is_unchecked = |id: &TargetId, record: &Record| record.check_started_at.is_none() && !due.contains(id);
+        let responded_recently =
+            |record: &Record| record.failed == 0 && now.saturating_sub(record.last_alive) < REFERENCE_MAX_AGE;
+        let candidates =
+            self.records.iter_mut().filter(|(id, record)| is_unchecked(id, record) && responded_recently(record));
+        let (target, record) = candidates.max_by_key(|(id, record)| (record.last_alive, **id))?;
+        record.check_started_at = Some(now);
         Some(*target)
     }
 
-    /// Takes in the outcome of a check, by an instance that knows others or is alone.
+    /// Records the outcome of a check. `alone` states whether this instance knows no other instance.
     pub fn check_finished(&mut self, now: Timestamp, target: TargetId, outcome: CheckOutcome, alone: bool) -> Finding {
         let Some(record) = self.records.get_mut(&target) else { return Finding::Inconclusive };
-        let Some(began) = record.check_since.take() else { return Finding::Inconclusive };
-        record.asked = false;
+        let Some(began) = record.check_started_at.take() else { return Finding::Inconclusive };
+        record.check_requested = false;
         if outcome == CheckOutcome::Accepted {
             record.next_check = now + RECHECK_ALIVE;
-            self.accepted = self.accepted.max(Some(began));
+            self.latest_accepted_start = self.latest_accepted_start.max(Some(began));
             self.answered(now, target);
             return Finding::Alive;
         }
-        // A process that was paused has not read what the target sent meanwhile.
-        let paused = now.saturating_sub(began) >= CHECK_LIMIT + STALL;
-        let reference_failed = self.accepted.is_none_or(|at| at < began);
-        if paused || reference_failed || record.last_sign >= began {
+        // A process that was paused has not read what the target sent in the meantime.
+        let paused = now.saturating_sub(began) >= CHECK_LIMIT + STALL_MARGIN;
+        let reference_failed = self.latest_accepted_start.is_none_or(|at| at < began);
+        if paused || reference_failed || record.last_alive >= began {
             record.next_check = now + RECHECK_FIRST;
             return Finding::Inconclusive;
         }
@@ -279,14 +289,16 @@
             self.changes.push(ReachabilityChange { target, reachability: Reachability::OutOfReach, failed });
             return Finding::OutOfReach;
         }
-        // The second check follows at once; after that others have answered, or cannot be reached either.
-        let pause = backoff::doubled(RECHECK_FIRST, record.failed.saturating_sub(ALONE), RECHECK_LONGEST);
-        record.next_check = if record.failed < ALONE { now } else { now + pause };
+        // The second check follows immediately. After that, other instances have responded or cannot be reached
+        // either.
+        let delay =
+            backoff::doubled(RECHECK_FIRST, record.failed.saturating_sub(FAILED_CHECKS_WHEN_ALONE), RECHECK_MAX);
+        record.next_check = if record.failed < FAILED_CHECKS_WHEN_ALONE { now } else { now + delay };
         if record.out_of_reach { Finding::StillOutOfReach } else { Finding::Failed }
     }
 
-    /// Notes that a target is known to be gone without a check, as another one has taken its address over; tells whether
-    /// that is new.
+    /// Records that a target no longer exists, because another target has taken over its address. Returns whether
+    /// this was not known before.
     pub fn gone(&mut self, target: TargetId) -> bool {
         let record = self.records.entry(target).or_default();
         let new = !record.gone;
@@ -298,7 +310,7 @@
         new
     }
 
-    /// Tells whether a target can be reached.
+    /// Returns whether a target can be reached.
     #[must_use]
     pub fn reachability(&self, target: TargetId) -> Reachability {
         match self.records.get(&target) {
@@ -308,13 +320,13 @@
         }
     }
 
-    /// Returns how many targets are out of reach or gone.
+    /// Returns the number of targets that are out of reach or gone.
     #[must_use]
     pub fn count_unreachable(&self) -> usize {
         self.records.values().filter(|record| record.out_of_reach).count()
     }
 
-    /// Forgets targets that are no longer known.
+    /// Removes the targets for which `known` returns false.
     pub fn retain(&mut self, known: impl Fn(TargetId) -> bool) {
         self.records.retain(|id, _| known(*id));
     }
--- a/crates/core/src/direct/readiness.rs
+++ b/crates/core/src/direct/readiness.rs
@@ -1,11 +1,13 @@
-//! Whether the fabric should hand callers' packets to this instance.
+//! Decides whether the network fabric should send callers' packets to this instance.
 //!
-//! An instance in a failure domain that is cut off from the others, and whose own targets are taken out or dead, cannot
-//! serve anybody, while instances elsewhere can. As long as it says that it is ready its callers wait for answers that
-//! cannot come; once it says that it is not, the fabric hands them to the nearest failure domain.
+//! An instance in a failure domain that is disconnected from the others, and whose own targets are evacuated or dead,
+//! cannot serve any caller, while instances elsewhere can. As long as it reports that it is ready, its callers wait
+//! for answers that cannot arrive. Once it reports that it is not, the fabric sends them to the nearest failure
+//! domain.
 //!
-//! Whether other failure domains can be reached is told by their targets as long as flows go there, and by their instances
-//! besides: an instance that gets no flows has no handshakes to judge by, and would never find out that the cut is over.
+//! Whether other failure domains are reachable is known from the handshakes of their targets as long as flows are
+//! placed there, and from messages of their instances. The latter are needed because an instance that receives no
+//! flows has no handshakes to rely on, and would never detect that the network partition has healed.
 
 use std::time::Duration;
 
@@ -16,49 +18,52 @@
 use crate::direct::outlier::Availability;
 use crate::direct::outlier::Outliers;
 
-/// Silence of all instances of other failure domains after which those domains count as out of reach.
+/// Time without a message from any instance in other failure domains after which those domains count as out of reach.
 ///
-/// An instance pings four members a second and is pinged as often, most of them elsewhere. By chance alone all may be near
-/// ones in this time, once in some dozen; the handshakes of targets elsewhere tell then.
+/// An instance pings four members per second and is pinged as often, and most of these members are in other domains.
+/// By chance, about once in a dozen intervals of this length all of them are in its own domain. The handshakes of
+/// targets in other domains decide then.
 pub const REMOTE_SILENCE_LIMIT: Duration = Duration::from_millis(600);
 
-/// Longest time for which an instance asks for no callers because of what it does not hear. Cuts last for seconds; and if
-/// all instances elsewhere are dead while the targets there live, only flows can show it.
-const LONGEST_REFUSAL: Duration = Duration::from_secs(10);
-/// Time for which it then asks for callers whatever it hears: two questions of the fabric and some handshakes.
-const TRIAL: Duration = Duration::from_secs(2);
+/// Longest time for which an instance reports that it is not ready because other domains are out of reach. Network
+/// partitions last for seconds. If all instances elsewhere are dead while the targets there are alive, only flows can
+/// show it.
+const MAX_UNREADY_TIME: Duration = Duration::from_secs(10);
+/// Time for which the instance then reports that it is ready regardless. This covers two readiness probes of the
+/// fabric and some handshakes.
+const READY_TRIAL_TIME: Duration = Duration::from_secs(2);
 
-/// Why an instance asks for callers, or for none.
+/// Whether an instance is ready for callers, and the reason if it is not.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Readiness {
     /// Callers can be served.
     Ready,
-    /// The configuration and the targets are not known yet.
+    /// The configuration and the targets have not been received completely yet.
     #[strum(serialize = "not-whole")]
     NotSynced,
-    /// No target that may be used can be reached from here.
+    /// No target that may be used is reachable from this instance.
     NoTargetInReach,
 }
 
-/// What readiness rests on.
+/// Inputs of the readiness decision.
 #[derive(Clone, Copy, Debug)]
 pub struct ReadinessInputs<'a> {
-    /// The targets.
+    /// The known targets.
     pub directory: &'a Directory,
-    /// Which of them seem not to answer.
+    /// The targets that appear unresponsive.
     pub outliers: &'a Outliers,
     /// The failure domain of this instance.
     pub domain: &'a str,
-    /// Handshake timeout, for trials of avoided targets.
+    /// Handshake timeout, which determines how long a trial of an avoided target takes.
     pub handshake_timeout: Duration,
 }
 
 impl ReadinessInputs<'_> {
-    /// Tells whether callers should be sent here, by whether other failure domains can be reached.
+    /// Returns the readiness of this instance. `others_in_reach` states whether other failure domains are reachable.
     ///
-    /// Where no instance at all could serve, since nothing is listed or all is taken out, this one stays ready: callers
-    /// then get a reset at once, which is better than silence.
+    /// If no instance at all could serve, because no target is listed or all are evacuated, this instance remains
+    /// ready. Callers then get a reset at once instead of no response.
     #[must_use]
     pub fn readiness(&self, now: Timestamp, others_in_reach: bool) -> Readiness {
         if !self.directory.is_synced() {
@@ -84,29 +89,29 @@
     }
 }
 
-/// Keeps an instance from refusing callers for good by what it does not hear.
+/// Limits the time for which an instance reports that it has no reachable target.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct UnreadyLimit {
-    since: Option<Timestamp>,
+    unready_since: Option<Timestamp>,
     trial_until: Timestamp,
 }
 
 impl UnreadyLimit {
-    /// Returns what to tell the fabric, by what was judged just now.
-    pub fn apply(&mut self, now: Timestamp, judged: Readiness) -> Readiness {
-        if judged != Readiness::NoTargetInReach {
-            self.since = None;
-            return judged;
+    /// Returns the readiness to report, given the one that was just determined.
+    pub fn apply(&mut self, now: Timestamp, current: Readiness) -> Readiness {
+        if current != Readiness::NoTargetInReach {
+            self.unready_since = None;
+            return current;
         }
         if now < self.trial_until {
             return Readiness::Ready;
         }
-        let since = *self.since.get_or_insert(now);
-        if now.saturating_sub(since) < LONGEST_REFUSAL {
-            return judged;
+        let unready_since = *self.unready_since.get_or_insert(now);
+        if now.saturating_sub(unready_since) < MAX_UNREADY_TIME {
+            return current;
         }
-        self.since = None;
-        self.trial_until = now + TRIAL;
+        self.unready_since = None;
+        self.trial_until = now + READY_TRIAL_TIME;
         Readiness::Ready
     }
 }
--- a/crates/core/src/direct/smoothed_time.rs
+++ b/crates/core/src/direct/smoothed_time.rs
@@ -1,32 +1,32 @@
-//! A smoothed time and its mean deviation, as the retransmission timer of TCP keeps them (RFC 6298).
+//! A smoothed time and its mean deviation, as in the retransmission timer of TCP (RFC 6298).
 
 use std::time::Duration;
 
-/// Weights of one more sample.
+/// Weights of a new sample.
 #[derive(Clone, Copy, Debug)]
 pub struct Weights {
-    /// In the smoothed time.
+    /// Weight in the smoothed time.
     pub time: f64,
-    /// In the deviation.
+    /// Weight in the mean deviation.
     pub deviation: f64,
 }
 
-/// Estimate of a time that varies.
+/// Estimate of a varying time.
 #[derive(Clone, Copy, Debug)]
 pub struct SmoothedTime {
     weights: Weights,
-    /// Smoothed time and deviation, in seconds.
+    /// Smoothed time and mean deviation, in seconds.
     estimate: Option<(f64, f64)>,
 }
 
 impl SmoothedTime {
-    /// Starts with nothing known.
+    /// Creates an estimate without samples.
     #[must_use]
     pub fn new(weights: Weights) -> Self {
         Self { weights, estimate: None }
     }
 
-    /// Takes in a measured time.
+    /// Adds a measured time.
     pub fn sample(&mut self, took: Duration) {
         let took = took.as_secs_f64();
         self.estimate = Some(match self.estimate {
@@ -38,7 +38,7 @@
         });
     }
 
-    /// Returns the smoothed time plus so many deviations; `None` before the first sample.
+    /// Returns the smoothed time plus `deviations` mean deviations, or `None` before the first sample.
     #[must_use]
     pub fn bound(&self, deviations: f64) -> Option<Duration> {
         self.estimate.map(|(smoothed, deviation)| Duration::from_secs_f64(smoothed + deviations * deviation))
--- a/crates/core/src/direct/stopping.rs
+++ b/crates/core/src/direct/stopping.rs
@@ -1,18 +1,19 @@
-//! When an instance that has been asked to stop may end.
+//! Decides when an instance that has been asked to stop may exit.
 
 use std::time::Duration;
 
 use crate::Timestamp;
 
-/// Shortest time: the platform asks twice a second and takes an instance out of rotation after two refusals.
-const LEAVE_ROTATION: Duration = Duration::from_millis(1_300);
-/// Time without a caller's packet after which nobody seems to use this instance any more. Callers repeat what was
-/// not acknowledged after 200 ms, then after 400 ms.
-const QUIET: Duration = Duration::from_millis(650);
-/// Time kept in reserve before the kill, for the last words to peers.
-const RESERVE: Duration = Duration::from_millis(500);
+/// Shortest duration of a stop. The platform probes readiness twice a second and takes an instance out of rotation
+/// after two failed probes.
+const MIN_STOP_TIME: Duration = Duration::from_millis(1_300);
+/// Time without a packet from a caller after which the instance is considered unused. Callers retransmit
+/// unacknowledged data after 200 ms, then after another 400 ms.
+const QUIET_TIME: Duration = Duration::from_millis(650);
+/// Time reserved for the final messages to peers before the process is killed.
+const FINAL_MESSAGES_RESERVE: Duration = Duration::from_millis(500);
 
-/// A planned stop under way.
+/// A planned stop in progress.
 #[derive(Clone, Copy, Debug)]
 pub struct Stopping {
     since: Timestamp,
@@ -21,22 +22,22 @@
 }
 
 impl Stopping {
-    /// Begins a stop that must be over within `grace`.
+    /// Starts a stop that must finish within `grace`.
     #[must_use]
     pub fn new(now: Timestamp, grace: Duration) -> Self {
         Self { since: now, last_packet: now, grace }
     }
 
-    /// Notes that a caller's packet came.
+    /// Records a packet from a caller.
     pub fn packet(&mut self, now: Timestamp) {
         self.last_packet = now;
     }
 
-    /// Tells whether the process may end.
+    /// Returns whether the process may exit.
     #[must_use]
     pub fn is_over(&self, now: Timestamp) -> bool {
         let took = now.saturating_sub(self.since);
-        let quiet = now.saturating_sub(self.last_packet) >= QUIET;
-        (took >= LEAVE_ROTATION && quiet) || took + RESERVE >= self.grace
+        let quiet = now.saturating_sub(self.last_packet) >= QUIET_TIME;
+        (took >= MIN_STOP_TIME && quiet) || took + FINAL_MESSAGES_RESERVE >= self.grace
     }
 }
