--- a/crates/core/src/direct/mechanisms.rs
+++ b/crates/core/src/direct/mechanisms.rs
@@ -45,7 +45,7 @@
     TargetReserve,
     /// Adds a cost to targets of other failure domains.
     RemoteCost,
-    /// Adds a cost to targets that are slower than usual.
+    /// Increases the cost of targets that are slower than usual.
     Slowness,
     /// Limits the late flows that an instance places while it is alone.
     SoloWindow,
--- a/crates/core/src/direct/open_requests.rs
+++ b/crates/core/src/direct/open_requests.rs
@@ -79,7 +79,7 @@
 #[derive(Clone, Copy, Debug)]
 struct MeanTime {
     seconds: f64,
-    at: Timestamp,
+    updated_at: Timestamp,
 }
 
 /// Open requests of all targets.
@@ -294,10 +294,10 @@
 
     fn add_sample(&mut self, now: Timestamp, target: TargetId, took: Duration) {
         let took = took.as_secs_f64();
-        let start = MeanTime { seconds: self.usual_seconds, at: now };
+        let start = MeanTime { seconds: self.usual_seconds, updated_at: now };
         let mean = self.mean_times.entry(target).or_insert(start);
         mean.seconds += (took - mean.seconds) * TARGET_TIME_WEIGHT;
-        mean.at = now;
+        mean.updated_at = now;
     }
 
     /// Returns the usual request time.
@@ -310,7 +310,7 @@
     #[must_use]
     pub fn slowness(&self, now: Timestamp, target: TargetId) -> f64 {
         let Some(mean) = self.mean_times.get(&target) else { return 1.0 };
-        let idle = now.saturating_sub(mean.at).as_secs_f64();
+        let idle = now.saturating_sub(mean.updated_at).as_secs_f64();
         let decay = 0.5_f64.powf(idle / SLOWNESS_HALF_LIFE.as_secs_f64());
         let ratio = 1.0 + (mean.seconds / self.usual_seconds - 1.0) * decay;
         if ratio < NOTABLE_SLOWNESS { 1.0 } else { ratio.min(MAX_SLOWNESS) }
--- a/crates/core/src/direct/pending.rs
+++ b/crates/core/src/direct/pending.rs
@@ -1,10 +1,11 @@
-//! Flows that wait for a slot.
+//! Queue of flows that wait for a slot.
 //!
-//! The load that this answers: every slot taken, as in the seconds after a power loss, when callers' copies of a second
-//! of SYNs come on top of the usual rate, or while a third of the targets is slow. A flow placed behind a full target
-//! could not be moved again, so it waits here, where the order can still be chosen. Flows that can still be answered
-//! within their latency objective go first and may use a target's reserve; those that cannot get what the others leave.
-//! Which flows may wait at all is decided in [`admission`](crate::direct::admission).
+//! The expected load: all slots are taken, as in the seconds after a power loss, when callers' retransmissions of one
+//! second of SYNs arrive in addition to the usual rate, or while a third of the targets is slow. A flow that has been
+//! placed on a full target cannot be moved again. It therefore waits in this queue, where its order can still change.
+//! Flows that can still be answered within their latency objective are served first and may use a target's reserve.
+//! Late flows get the remaining capacity. [`admission`](crate::direct::admission) decides which flows may wait at
+//! all.
 
 use std::cmp::Reverse;
 use std::time::Duration;
@@ -15,48 +16,50 @@
 use crate::direct::segment::Segment;
 use hawthornshift_model::TargetId;
 
-/// Part of the latency objective that a flow may spend waiting here; the other half is for the request itself, whose
-/// time varies by as much.
+/// Divisor of the latency objective that gives the time that a flow may spend in the queue. The rest is for the
+/// request itself, whose duration varies by as much.
 const OBJECTIVE_DIVISOR: u32 = 3;
 /// Time from a caller's first SYN to the end of its attempt.
-const ATTEMPT: Duration = Duration::from_millis(1_400);
-/// Age of a SYN by its number of copies: callers repeat it after 200 ms and after 600 ms.
-const COPY_AGES: [Duration; 3] = [Duration::ZERO, Duration::from_millis(200), Duration::from_millis(600)];
-/// Time from a SYN with so many copies before it to the next; there is none after the last.
-const NEXT_COPY: [Duration; 2] = [Duration::from_millis(200), Duration::from_millis(400)];
-/// Time before the next copy in which a flow is no longer reset: packets may take longer to one instance than to
-/// another.
+const ATTEMPT_DURATION: Duration = Duration::from_millis(1_400);
+/// Time since a caller's first SYN, by the number of retransmissions sent so far. Callers retransmit a SYN 200 ms and
+/// 600 ms after the first.
+const AGES_BY_RETRANSMISSIONS: [Duration; 3] = [Duration::ZERO, Duration::from_millis(200), Duration::from_millis(600)];
+/// Time until the next retransmission, by the number of retransmissions sent so far. There is none after the last.
+const RETRANSMISSION_INTERVALS: [Duration; 2] = [Duration::from_millis(200), Duration::from_millis(400)];
+/// Time before the next retransmission in which a flow is no longer reset, because packets may take longer to one
+/// instance than to another.
 const RESET_MARGIN: Duration = Duration::from_millis(10);
 
-/// A SYN that waits.
+/// A SYN that waits for a slot.
 #[derive(Clone, Debug)]
 pub struct PendingFlow {
-    /// Its head.
+    /// The header of the SYN.
     pub segment: Segment,
-    /// The packet.
+    /// The packet of the SYN.
     pub packet: Box<[u8]>,
-    /// When it came.
+    /// When the SYN was received.
     pub since: Timestamp,
-    /// When its latest copy came.
-    heard: Timestamp,
-    /// How many copies the caller had sent before that.
+    /// When the SYN or its latest retransmission was received.
+    last_received: Timestamp,
+    /// Number of retransmissions that the caller had sent by then.
     copies: u32,
-    /// How many of them came here.
-    seen: u32,
-    /// Until when it may still be answered within its latency objective.
+    /// Number of retransmissions that this instance has received since the SYN was queued.
+    retransmissions_received: u32,
+    /// Time until which the flow can still be answered within its latency objective.
     pub in_time_until: Timestamp,
-    /// When its caller's attempt ends, or the time that its route allows.
+    /// Earlier of the end of the caller's attempt and the timeout of the route.
     pub until: Timestamp,
-    /// Its route's priority; zero is the highest.
+    /// Priority of the route. Zero is the highest.
     pub priority: u8,
-    /// Name of its service.
+    /// Name of the service.
     pub service: String,
-    /// Targets that did not answer it.
+    /// Targets that did not complete the handshake of this flow.
     pub tried: Vec<TargetId>,
 }
 
 impl PendingFlow {
-    /// Makes an entry for a SYN that came at `since` after so many copies.
+    /// Creates an entry for a SYN received at `since` after the given number of retransmissions. The caller's latency
+    /// objective and timeout count from its first SYN.
     #[must_use]
     pub fn new(
         segment: Segment,
@@ -66,99 +69,104 @@
         objective: Duration,
         timeout: Duration,
     ) -> Self {
-        let age = COPY_AGES[usize::try_from(copies).unwrap_or(usize::MAX).min(COPY_AGES.len() - 1)];
+        let age = AGES_BY_RETRANSMISSIONS
+            [usize::try_from(copies).unwrap_or(usize::MAX).min(AGES_BY_RETRANSMISSIONS.len() - 1)];
         Self {
             segment,
             packet: packet.into(),
             since,
-            heard: since,
+            last_received: since,
             copies,
-            seen: 0,
+            retransmissions_received: 0,
             in_time_until: since + objective.saturating_sub(age) / OBJECTIVE_DIVISOR,
-            until: since + timeout.min(ATTEMPT).saturating_sub(age),
+            until: since + timeout.min(ATTEMPT_DURATION).saturating_sub(age),
             priority: u8::MAX,
             service: String::new(),
             tried: Vec::new(),
         }
     }
 
-    /// Tells whether the flow can no longer be answered within its latency objective.
+    /// Returns whether the flow can no longer be answered within its latency objective.
     #[must_use]
     pub fn is_late(&self, now: Timestamp) -> bool {
         now >= self.in_time_until
     }
 
-    /// Tells whether a reset cannot hit a flow that is open at a target.
+    /// Returns whether the flow can be reset without the risk of resetting a connection that is open at a target.
     ///
-    /// Any copy that did not come here, before or since, may have come to another instance, which gave it to a target.
-    /// What waits here is a leftover then, and nobody may tell its caller that nothing has run.
+    /// A copy of the SYN that this instance did not receive, before or after this entry was queued, may have been
+    /// received by another instance and placed on a target. The entry is then obsolete, and a reset must not indicate
+    /// to the caller that its request was not run.
     #[must_use]
     pub fn may_be_reset(&self, now: Timestamp) -> bool {
-        let next = usize::try_from(self.copies).ok().and_then(|copies| NEXT_COPY.get(copies));
-        self.seen == self.copies && next.is_none_or(|next| now + RESET_MARGIN < self.heard + *next)
+        let next = usize::try_from(self.copies).ok().and_then(|copies| RETRANSMISSION_INTERVALS.get(copies));
+        self.retransmissions_received == self.copies
+            && next.is_none_or(|next| now + RESET_MARGIN < self.last_received + *next)
     }
 
-    /// The newest first: under overload those that came before it are the least likely to be still wanted when they are
-    /// answered, as many of them are a caller's last try.
+    /// Returns the sort key of a flow: the highest priority first, then the newest. Under overload the oldest flows
+    /// are the least likely to be still wanted when they are answered, because many of them are a caller's last
+    /// attempt.
     fn rank(&self) -> (u8, Reverse<Timestamp>) {
         (self.priority, Reverse(self.since))
     }
 }
 
-/// All flows that wait.
+/// All flows that wait for a slot.
 #[derive(Clone, Debug, Default)]
 pub struct PendingQueue {
-    /// Those that may still be in time, the most urgent first.
+    /// Flows that can still be in time, the most urgent first.
     in_time: Vec<PendingFlow>,
-    /// The others, the most urgent first.
+    /// Late flows, the most urgent first.
     late: Vec<PendingFlow>,
 }
 
-fn insert(flows: &mut Vec<PendingFlow>, waiting: PendingFlow) {
-    let at = flows.partition_point(|other| other.rank() <= waiting.rank());
-    flows.insert(at, waiting);
+fn insert_by_rank(flows: &mut Vec<PendingFlow>, pending: PendingFlow) {
+    let at = flows.partition_point(|other| other.rank() <= pending.rank());
+    flows.insert(at, pending);
 }
 
 impl PendingQueue {
-    /// Tells how many wait.
+    /// Returns the number of waiting flows.
     #[must_use]
     pub fn len(&self) -> usize {
         self.in_time.len() + self.late.len()
     }
 
-    /// Tells whether none waits.
+    /// Returns whether no flow waits.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.in_time.is_empty() && self.late.is_empty()
     }
 
-    /// Returns how many flows wait for a service.
+    /// Returns the number of flows that wait for a service.
     #[must_use]
     pub fn depth(&self, service: &str) -> QueueDepth {
-        let count = |flows: &[PendingFlow]| flows.iter().filter(|waiting| waiting.service == service).count();
+        let count = |flows: &[PendingFlow]| flows.iter().filter(|pending| pending.service == service).count();
         QueueDepth { in_time: count(&self.in_time), late: count(&self.late) }
     }
 
-    /// Takes a flow in. Returns the least urgent of those that are late if there are more than `capacity`: it could
-    /// not be served before its time is over, and its caller should know at once.
-    pub fn push(&mut self, now: Timestamp, waiting: PendingFlow, capacity: usize) -> Option<PendingFlow> {
-        insert(if waiting.is_late(now) { &mut self.late } else { &mut self.in_time }, waiting);
+    /// Adds a flow. If there are more than `capacity` flows then, removes and returns the least urgent late flow, or
+    /// the least urgent flow if none is late. It could not be served before its deadline, and its caller should be
+    /// notified at once.
+    pub fn push(&mut self, now: Timestamp, pending: PendingFlow, capacity: usize) -> Option<PendingFlow> {
+        insert_by_rank(if pending.is_late(now) { &mut self.late } else { &mut self.in_time }, pending);
         if self.len() > capacity { self.late.pop().or_else(|| self.in_time.pop()) } else { None }
     }
 
-    /// Takes out the flows that can no longer be in time.
+    /// Removes and returns the flows that have become late since they were queued.
     pub fn take_late(&mut self, now: Timestamp) -> Vec<PendingFlow> {
-        self.in_time.extract_if(.., |waiting| waiting.is_late(now)).collect()
+        self.in_time.extract_if(.., |pending| pending.is_late(now)).collect()
     }
 
-    /// Notes a copy of a SYN; tells whether its flow waits here.
+    /// Records a retransmission of a SYN. Returns whether the flow waits in this queue.
     pub fn receive_copy(&mut self, now: Timestamp, segment: &Segment, copies: u32) -> bool {
         let mut all = self.in_time.iter_mut().chain(&mut self.late);
-        let waiting = all.find(|waiting| waiting.segment.flow == segment.flow);
-        let Some(waiting) = waiting else { return false };
-        waiting.heard = now;
-        waiting.copies = copies;
-        waiting.seen += 1;
+        let pending = all.find(|pending| pending.segment.flow == segment.flow);
+        let Some(pending) = pending else { return false };
+        pending.last_received = now;
+        pending.copies = copies;
+        pending.retransmissions_received += 1;
         true
     }
 
@@ -166,13 +174,13 @@
         self.in_time.iter().chain(&self.late)
     }
 
-    /// Removes a flow that its caller has given up or that another instance has given to a target.
+    /// Removes a flow that its caller has abandoned or that another instance has placed on a target.
     pub fn remove(&mut self, flow: FlowHash) {
-        self.in_time.retain(|waiting| waiting.segment.flow.flow_hash() != flow);
-        self.late.retain(|waiting| waiting.segment.flow.flow_hash() != flow);
+        self.in_time.retain(|pending| pending.segment.flow.flow_hash() != flow);
+        self.late.retain(|pending| pending.segment.flow.flow_hash() != flow);
     }
 
-    /// Takes out the flow at a position, the most urgent first.
+    /// Removes and returns the flow at a position, where the most urgent flow is at zero.
     pub fn take(&mut self, index: usize) -> Option<PendingFlow> {
         if index < self.in_time.len() {
             return Some(self.in_time.remove(index));
@@ -181,22 +189,22 @@
         (index < self.late.len()).then(|| self.late.remove(index))
     }
 
-    /// Returns the flow at a position, the most urgent first.
+    /// Returns the flow at a position, where the most urgent flow is at zero.
     #[must_use]
     pub fn get(&self, index: usize) -> Option<&PendingFlow> {
         self.iter().nth(index)
     }
 
-    /// Takes out one flow whose time is over.
+    /// Removes and returns one flow whose deadline has passed.
     pub fn pop_due(&mut self, now: Timestamp) -> Option<PendingFlow> {
-        let index = self.iter().position(|waiting| waiting.until <= now)?;
+        let index = self.iter().position(|pending| pending.until <= now)?;
         self.take(index)
     }
 
-    /// Returns when the next flow must be looked at.
+    /// Returns the next time at which a flow becomes late or its deadline passes.
     #[must_use]
     pub fn next_due(&self) -> Option<Timestamp> {
-        let late = self.in_time.iter().map(|waiting| waiting.in_time_until.min(waiting.until));
-        late.chain(self.late.iter().map(|waiting| waiting.until)).min()
+        let late = self.in_time.iter().map(|pending| pending.in_time_until.min(pending.until));
+        late.chain(self.late.iter().map(|pending| pending.until)).min()
     }
 }
--- a/crates/core/src/direct/placement.rs
+++ b/crates/core/src/direct/placement.rs
@@ -40,7 +40,7 @@
 const UNKNOWN_REMOTE_COST: f64 = 1.01;
 /// Interval between two flows that one instance places on the same cold target when all targets are cold. After
 /// restarts and pauses, instances can disagree about which of them is responsible for the target. Five instances that
-/// all consider themselves responsible still stay within the lowest rate that a cold target has to handle.
+/// all consider themselves responsible still stay within the minimum rate that a cold target can sustain.
 const COLD_FLOW_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Divisor of a service's number of targets: if more than this fraction of them returns at the same time, they count
--- a/crates/core/src/direct/reachability.rs
+++ b/crates/core/src/direct/reachability.rs
@@ -191,7 +191,7 @@
         std::mem::take(&mut self.changes)
     }
 
-    /// Returns whether another instance has requested a check of a target that is not finished.
+    /// Returns whether another instance has requested a check of a target and the check has not finished.
     #[must_use]
     pub fn is_asked(&self, target: TargetId) -> bool {
         self.records.get(&target).is_some_and(|record| record.check_requested)
@@ -211,8 +211,8 @@
         self.records.entry(target).or_default().check_requested = true;
     }
 
-    /// Restarts the time since which each target has not answered, after this process was paused. Answers may have
-    /// arrived that have not been read.
+    /// Restarts the answer deadline of each target, after this process was paused. Answers may have arrived that have
+    /// not been read.
     pub fn restart_deadlines(&mut self, now: Timestamp) {
         for record in self.records.values_mut().filter(|record| record.unanswered_since.is_some()) {
             record.unanswered_since = Some(now);
