--- a/crates/core/tests/direct/convergence.rs
+++ b/crates/core/tests/direct/convergence.rs
@@ -13,7 +13,7 @@
 use crate::fleet::ms;
 use crate::members::DOMAINS;
 use crate::members::Members;
-use crate::members::TICK;
+use crate::members::TICK_PERIOD;
 use hawthornshift_core::Timestamp;
 use hawthornshift_core::direct::fleet::ChangeLog;
 use hawthornshift_core::direct::message::MAX_DATAGRAM_BYTES;
@@ -81,7 +81,7 @@
 fn no_message_is_larger_than_a_datagram() {
     let mut fleet = Members::starting(5, 300);
     fleet.run(Duration::from_secs(4));
-    assert!(fleet.largest <= MAX_DATAGRAM_BYTES, "{}", fleet.largest);
+    assert!(fleet.largest_frame_bytes <= MAX_DATAGRAM_BYTES, "{}", fleet.largest_frame_bytes);
 }
 
 /// Control may cost 4 KB a second and node, however large the fleet. The one that watches the store has a bound of its own.
@@ -89,10 +89,10 @@
 fn heartbeats_at_rest_do_not_grow_with_the_fleet() {
     for count in SIZES {
         let mut fleet = Members::settled(6, count);
-        let before = fleet.sent.clone();
+        let before = fleet.sent_bytes.clone();
         fleet.run(Duration::from_secs(5));
-        let watching = fleet.watching();
-        for (index, bytes) in fleet.sent.iter().zip(before).map(|(now, before)| (now - before) / 5).enumerate() {
+        let watching = fleet.watchers();
+        for (index, bytes) in fleet.sent_bytes.iter().zip(before).map(|(now, before)| (now - before) / 5).enumerate() {
             assert!(bytes <= 4_000 || watching.contains(&index), "{count} instances: {bytes} bytes a second");
         }
     }
@@ -106,8 +106,8 @@
         for round in 0..20 {
             (0..10).for_each(|index| fleet.freeze((round * 37 + index * 29) % 300, ms(500)));
             for _ in 0..10 {
-                fleet.run(TICK);
-                let least = fleet.counts().into_iter().min().unwrap();
+                fleet.run(TICK_PERIOD);
+                let least = fleet.serving_counts().into_iter().min().unwrap();
                 assert_eq!(least, 300, "seed {seed}, round {round}");
             }
         }
@@ -119,12 +119,12 @@
 #[test]
 fn two_domains_that_a_third_reaches_stay_in_view_of_each_other() {
     let mut fleet = Members::settled(7, 100);
-    fleet.cuts = vec![(1, 3)];
+    fleet.partitions = vec![(1, 3)];
     for _ in 0..100 {
-        fleet.run(TICK);
-        assert!(fleet.counts().into_iter().min().unwrap() >= 98, "{:?}", fleet.counts());
+        fleet.run(TICK_PERIOD);
+        assert!(fleet.serving_counts().into_iter().min().unwrap() >= 98, "{:?}", fleet.serving_counts());
     }
-    fleet.cuts.clear();
+    fleet.partitions.clear();
     assert!(fleet.time_to_agree(Duration::from_secs(3)).is_some());
 }
 
@@ -132,10 +132,10 @@
 #[test]
 fn both_sides_of_a_cut_find_each_other_again() {
     let mut fleet = Members::settled(8, 100);
-    fleet.cuts = (0..DOMAINS).filter(|domain| *domain != 2).map(|domain| (2, domain)).collect();
+    fleet.partitions = (0..DOMAINS).filter(|domain| *domain != 2).map(|domain| (2, domain)).collect();
     fleet.run(Duration::from_secs(8));
-    assert!(fleet.counts().into_iter().max().unwrap() < 90, "{:?}", fleet.counts());
-    fleet.cuts.clear();
+    assert!(fleet.serving_counts().into_iter().max().unwrap() < 90, "{:?}", fleet.serving_counts());
+    fleet.partitions.clear();
     let took = fleet.time_to_agree(Duration::from_secs(20));
     assert!(took.is_some_and(|took| took <= Duration::from_secs(4)), "{took:?}");
 }
--- a/crates/core/tests/direct/directory.rs
+++ b/crates/core/tests/direct/directory.rs
@@ -11,9 +11,9 @@
 
 use crate::fleet::domain;
 use crate::fleet::routing;
-use crate::fleet::target_facts;
+use crate::fleet::store_snapshot;
 use crate::fleet::target_id;
-use crate::fleet::whole;
+use crate::fleet::target_spec;
 use hawthornshift_core::Timestamp;
 use hawthornshift_core::direct::directory::Directory;
 use hawthornshift_core::direct::directory::cookie;
@@ -31,7 +31,7 @@
 
 fn fact(kind: u8, index: usize, revision: u64) -> StoreEntry {
     match kind {
-        0 => StoreEntry::Target(target_id(index), Some(target_facts(index, Duration::ZERO))),
+        0 => StoreEntry::Target(target_id(index), Some(target_spec(index, Duration::ZERO))),
         1 => StoreEntry::Target(target_id(index), None),
         2 => StoreEntry::Evacuated(domain(index), true),
         3 => StoreEntry::Evacuated(domain(index), false),
@@ -53,12 +53,12 @@
             since: versioned.revision - 1, revision: versioned.revision, is_snapshot: false, entries: vec![versioned.clone()],
         };
         let mut straight = Directory::default();
-        straight.apply(Timestamp::ZERO, &whole(4));
+        straight.apply(Timestamp::ZERO, &store_snapshot(4));
         for versioned in &news {
             straight.apply(Timestamp::ZERO, &single(versioned));
         }
         let mut mixed = Directory::default();
-        mixed.apply(Timestamp::ZERO, &whole(4));
+        mixed.apply(Timestamp::ZERO, &store_snapshot(4));
         let mut version = 0;
         for index in order {
             mixed.apply(Timestamp::ZERO, &single(index.get(&news)));
@@ -78,7 +78,7 @@
         missed in any::<Index>(),
     ) {
         let mut source = Directory::default();
-        source.apply(Timestamp::ZERO, &whole(4));
+        source.apply(Timestamp::ZERO, &store_snapshot(4));
         let mut behind = source.clone();
         let keep = missed.index(changes.len());
         for ((count, (kind, index)), revision) in changes.iter().enumerate().zip(12_u64..) {
@@ -101,7 +101,7 @@
 #[test]
 fn a_gap_in_the_news_is_noticed() {
     let mut directory = Directory::default();
-    directory.apply(Timestamp::ZERO, &whole(2));
+    directory.apply(Timestamp::ZERO, &store_snapshot(2));
     let facts = vec![VersionedEntry { revision: 20, entry: StoreEntry::Target(target_id(0), None) }];
     directory.apply(Timestamp::ZERO, &Delta { since: 19, revision: 20, is_snapshot: false, entries: facts });
     assert_eq!(directory.revision(), 11);
@@ -112,10 +112,10 @@
 #[test]
 fn what_a_whole_picture_does_not_name_is_gone() {
     let mut directory = Directory::default();
-    directory.apply(Timestamp::ZERO, &whole(3));
+    directory.apply(Timestamp::ZERO, &store_snapshot(3));
     let evacuated = vec![VersionedEntry { revision: 13, entry: StoreEntry::Evacuated(domain(1), true) }];
     directory.apply(Timestamp::ZERO, &Delta { since: 11, revision: 13, is_snapshot: false, entries: evacuated });
-    let later = Delta { revision: 30, ..whole(2) };
+    let later = Delta { revision: 30, ..store_snapshot(2) };
     directory.apply(Duration::from_secs(1), &later);
     let (takes, out, _) = picture(&directory);
     assert_eq!(takes, [(target_id(0), true), (target_id(1), true)]);
@@ -127,7 +127,7 @@
 #[test]
 fn targets_are_forgotten_and_old_revisions_get_everything() {
     let mut directory = Directory::default();
-    directory.apply(Timestamp::ZERO, &whole(2));
+    directory.apply(Timestamp::ZERO, &store_snapshot(2));
     let gone = |revision: u64, index: usize| {
         let facts = vec![VersionedEntry { revision, entry: StoreEntry::Target(target_id(index), None) }];
         Delta { since: revision - 1, revision, is_snapshot: false, entries: facts }
@@ -145,13 +145,13 @@
 #[test]
 fn a_target_that_has_left_is_handed_over() {
     let mut source = Directory::default();
-    source.apply(Timestamp::ZERO, &whole(2));
+    source.apply(Timestamp::ZERO, &store_snapshot(2));
     let gone = vec![VersionedEntry { revision: 12, entry: StoreEntry::Target(target_id(1), None) }];
     source.apply(Duration::from_secs(1), &Delta { since: 11, revision: 12, is_snapshot: false, entries: gone });
     let mut fresh = Directory::default();
     fresh.apply(Duration::from_secs(2), &source.delta_since(Duration::from_secs(2), 0));
     let target = fresh.by_cookie(cookie(target_id(1))).expect("known by its cookie");
-    assert_eq!(target.spec.address, target_facts(1, Duration::ZERO).address);
+    assert_eq!(target.spec.address, target_spec(1, Duration::ZERO).address);
     assert!(!target.takes_flows(Duration::from_secs(2)));
     assert_eq!(fresh.revision(), 12);
 }
--- a/crates/core/tests/direct/domain_loss.rs
+++ b/crates/core/tests/direct/domain_loss.rs
@@ -25,12 +25,12 @@
 
 /// Returns how many flows some targets have been given.
 fn opened(sim: &Sim, targets: &[usize]) -> usize {
-    targets.iter().map(|index| sim.targets[&target_id(*index)].opened.len()).sum()
+    targets.iter().map(|index| sim.targets[&target_id(*index)].syn_times.len()).sum()
 }
 
 /// Returns how many callers of one domain have asked since a time.
 fn asked_since(sim: &Sim, since: Duration) -> usize {
-    sim.requests.iter().filter(|request| request.asked >= since).count() / DOMAINS
+    sim.requests.iter().filter(|request| request.sent_at >= since).count() / DOMAINS
 }
 
 fn fleet(seed: u64) -> Sim {
--- a/crates/core/tests/direct/fleet.rs
+++ b/crates/core/tests/direct/fleet.rs
@@ -1,8 +1,8 @@
-//! Instances, targets and callers on the direct path, in virtual time.
+//! Simulates instances, targets and callers of the direct path in virtual time.
 //!
-//! The harness plays the fabric (a remainder of a hash picks the instance, among those that are up), the targets (slots,
-//! a short queue, silent death, slowness) and the callers (copies of a SYN after 200 ms and 600 ms, an end of the attempt
-//! after 1.4 s, two retries). Every choice comes from one seed.
+//! The harness simulates the network fabric (the remainder of a flow hash picks one of the running instances), the
+//! targets (slots, a short queue, silent death, slowness) and the callers (SYN retransmissions after 200 ms and 600 ms,
+//! an attempt timeout of 1.4 s, two retries). All random choices come from one seed.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -54,24 +54,24 @@
 
 pub const SERVICE: &str = "orders";
 pub const DOMAINS: usize = 4;
-/// One way between callers and the rest.
-const TO_CALLER: Duration = Duration::from_millis(3);
-/// One way between instances and targets, and between instances.
-const INSIDE: Duration = Duration::from_micros(900);
-const TARGET_QUEUE: usize = 8;
-/// Time after which a full target says that it has not run a request.
-const SHED_AFTER: Duration = Duration::from_millis(90);
-const RETRIES: u32 = 2;
-/// What a caller has received when it sends the first request of a flow, and what an answer brings.
-const FIRST_RECEIVED: u32 = 100;
+/// One-way delay between callers and instances, and between targets and callers.
+const CALLER_DELAY: Duration = Duration::from_millis(3);
+/// One-way delay between instances and targets, and between instances.
+const INTERNAL_DELAY: Duration = Duration::from_micros(900);
+const TARGET_QUEUE_CAPACITY: usize = 8;
+/// Time after which a full target reports that it has not run a request.
+const REFUSAL_DELAY: Duration = Duration::from_millis(90);
+const MAX_RETRIES: u32 = 2;
+/// Bytes that a caller has received on a new flow when it sends its first request.
+const INITIAL_RECEIVED_BYTES: u32 = 100;
 const ANSWER_BYTES: u32 = 2_000;
-pub const OBJECTIVE: Duration = Duration::from_millis(150);
-const TIMEOUT: Duration = Duration::from_millis(1_500);
-const TICK: Duration = Duration::from_millis(10);
-/// Time from the end of an instance that is restarted to its start.
-const RESTART: Duration = Duration::from_millis(400);
-/// Time between two questions of the fabric whether an instance is ready; two misses take it out of rotation.
-const PROBE: Duration = Duration::from_millis(500);
+pub const LATENCY_OBJECTIVE: Duration = Duration::from_millis(150);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(1_500);
+const TICK_PERIOD: Duration = Duration::from_millis(10);
+/// Time between the end of a restarted instance and its next start.
+const RESTART_DELAY: Duration = Duration::from_millis(400);
+/// Period of the fabric's readiness probes. Two consecutive failed probes take an instance out of rotation.
+const PROBE_PERIOD: Duration = Duration::from_millis(500);
 
 pub fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
@@ -89,7 +89,7 @@
     SocketAddrV4::new(Ipv4Addr::new(198, 18, 0, 1), 443)
 }
 
-pub fn target_facts(index: usize, cold_for: Duration) -> TargetSpec {
+pub fn target_spec(index: usize, cold_for: Duration) -> TargetSpec {
     let [high, low] = u16::try_from(index).unwrap().to_be_bytes();
     let address = SocketAddrV4::new(Ipv4Addr::new(10, 9, high, low), 8_000);
     let (service, failure_domain) = (SERVICE.to_owned(), domain(index));
@@ -102,22 +102,22 @@
         address: service_address(),
         shares: vec![share],
         kind: RequestKind::Unsafe,
-        timeout: TIMEOUT,
-        latency_objective: OBJECTIVE,
+        timeout: REQUEST_TIMEOUT,
+        latency_objective: LATENCY_OBJECTIVE,
         priority: 1,
     };
     let service = ServiceSpec { name: SERVICE.to_owned(), cold_time: Duration::from_secs(2) };
     Routing { version: 1, routes: vec![route], services: vec![service], idle_timeout: Duration::from_secs(15) }
 }
 
-/// A whole picture with so many targets.
-pub fn whole(targets: usize) -> Delta {
-    let mut facts: Vec<VersionedEntry> = (0..targets)
-        .map(|index| StoreEntry::Target(target_id(index), Some(target_facts(index, Duration::ZERO))))
-        .map(|fact| VersionedEntry { revision: 10, entry: fact })
+/// Returns a store snapshot with `targets` targets at revision 10 and the routing entry at revision 11.
+pub fn store_snapshot(targets: usize) -> Delta {
+    let mut entries: Vec<VersionedEntry> = (0..targets)
+        .map(|index| StoreEntry::Target(target_id(index), Some(target_spec(index, Duration::ZERO))))
+        .map(|entry| VersionedEntry { revision: 10, entry })
         .collect();
-    facts.push(VersionedEntry { revision: 11, entry: StoreEntry::Routing(routing()) });
-    Delta { since: 0, revision: 11, is_snapshot: true, entries: facts }
+    entries.push(VersionedEntry { revision: 11, entry: StoreEntry::Routing(routing()) });
+    Delta { since: 0, revision: 11, is_snapshot: true, entries }
 }
 
 fn instance_address(index: usize) -> SocketAddr {
@@ -128,42 +128,42 @@
     dispatcher: Dispatcher,
     fleet: Fleet,
     group: Vec<SocketAddr>,
-    /// Tells its life from earlier ones: events for those are void.
-    life: u64,
+    /// Distinguishes this run of the instance from earlier ones: events for those are ignored.
+    incarnation: u64,
 }
 
 #[derive(Clone, Debug)]
-struct Work {
+struct QueuedRequest {
     request: usize,
     flow: FlowId,
-    /// Whether it is never answered.
-    hangs: bool,
+    /// Whether the target never answers it.
+    never_answered: bool,
 }
 
-/// What a target does with a request that its queue does not hold.
+/// What a target does with a request when its queue is full.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum WhenFull {
-    /// It drops the request.
+    /// Drops the request.
     Silent,
-    /// It says that it has not run the request, and the caller tries again.
+    /// Reports that it has not run the request, and the caller retries.
     Refuse,
 }
 
 #[derive(Debug)]
 pub struct SimTarget {
     pub alive: bool,
-    /// Times that a request takes longer than usual.
+    /// Factor by which requests take longer than usual.
     pub slow: f64,
-    /// Part of its requests that it answers at once with a failure, without running them.
+    /// Share of requests that the target answers at once with a failure, without running them.
     pub fails: f64,
-    /// Part of its requests that it takes and never answers. Each holds its slot until its caller gives up.
+    /// Share of requests that the target accepts and never answers. Each holds its slot until its caller's timeout.
     pub hangs: f64,
-    busy: usize,
-    queue: VecDeque<Work>,
-    /// Flows with a SYN or a request, and the request taken last.
+    running: usize,
+    queue: VecDeque<QueuedRequest>,
+    /// Flows with a SYN or a request, each with the last request that was accepted.
     flows: BTreeMap<FlowId, Option<usize>>,
-    /// Times of SYNs, for cold budgets.
-    pub opened: Vec<Timestamp>,
+    /// Arrival times of SYNs, for checks of the slow-start limit.
+    pub syn_times: Vec<Timestamp>,
 }
 
 impl Default for SimTarget {
@@ -173,203 +173,204 @@
             slow: 1.0,
             fails: 0.0,
             hangs: 0.0,
-            busy: 0,
+            running: 0,
             queue: VecDeque::new(),
             flows: BTreeMap::new(),
-            opened: Vec::new(),
+            syn_times: Vec::new(),
         }
     }
 }
 
-/// One request of a caller.
+/// One request of a caller, over all its attempts.
 #[derive(Clone, Debug)]
 pub struct Request {
-    pub asked: Timestamp,
-    pub answered: Option<Timestamp>,
-    pub runs: u32,
-    tries: u32,
+    pub sent_at: Timestamp,
+    pub answered_at: Option<Timestamp>,
+    pub run_count: u32,
+    attempt_count: u32,
     flow: FlowId,
-    /// Target whose answer to the SYN came first, with the cookie that it repeated.
-    opened: Option<(TargetId, Cookie)>,
+    /// Target whose SYN-ACK arrived first, and the cookie that the caller echoes for it.
+    established: Option<(TargetId, Cookie)>,
     attempt: u32,
-    /// The caller's number among those that keep their flows open.
-    user: Option<usize>,
-    /// What the caller had received on the flow before.
-    received: u32,
-    pub resets: u32,
+    /// Index of the caller among those with persistent flows.
+    persistent_caller: Option<usize>,
+    /// Bytes that the caller had received on the flow before this request.
+    received_bytes: u32,
+    pub reset_count: u32,
     pub failed: bool,
-    /// Tries that a full target has refused.
-    pub shed: u32,
-    /// Whether a target has taken it and will never answer.
+    /// Attempts that full targets refused.
+    pub refused_attempts: u32,
+    /// Whether a target has accepted the request and will never answer it.
     pub hung: bool,
 }
 
 #[derive(Debug)]
 enum Event {
     Tick(usize, u64),
-    Ask,
-    Syn(usize, u32, u32),
-    AttemptEnds(usize, u32),
-    AtInstance(usize, Segment),
-    AtTarget(TargetId, Segment),
-    Opened(usize, FlowId, TargetId),
-    Done(TargetId, Work),
+    SendRequest,
+    SendSyn(usize, u32, u32),
+    AttemptTimeout(usize, u32),
+    ArriveAtInstance(usize, Segment),
+    ArriveAtTarget(TargetId, Segment),
+    SynAnswered(usize, FlowId, TargetId),
+    RequestFinished(TargetId, QueuedRequest),
     Answered(usize, FlowId),
     Failed(usize, FlowId),
-    Shed(usize, FlowId),
+    Refused(usize, FlowId),
     Reset(usize, FlowId),
-    Peer(usize, u64, Box<Frame>),
-    Pulled(usize, u64, Box<Handover>),
-    Learned(usize, u64),
+    PeerFrame(usize, u64, Box<Frame>),
+    HandoverReceived(usize, u64, Box<Handover>),
+    ReadStore(usize, u64),
     Start(usize),
     Probe,
-    Checked(usize, u64, TargetId, CheckOutcome),
-    Data(usize, u32),
+    CheckFinished(usize, u64, TargetId, CheckOutcome),
+    SendData(usize, u32),
     Deadline(usize),
 }
 
-/// A caller's flow that is open and has no request.
+/// An open flow of a caller with no request in progress.
 #[derive(Clone, Copy, Debug)]
-struct KeptFlow {
+struct IdleFlow {
     flow: FlowId,
-    opened: (TargetId, Cookie),
-    received: u32,
+    established: (TargetId, Cookie),
+    received_bytes: u32,
 }
 
-/// The whole world.
+/// The simulated system.
 pub struct Sim {
     pub now: Timestamp,
-    events: BinaryHeap<Reverse<(Timestamp, u64)>>,
-    bodies: BTreeMap<u64, Event>,
-    next: u64,
+    event_queue: BinaryHeap<Reverse<(Timestamp, u64)>>,
+    pending_events: BTreeMap<u64, Event>,
+    last_event_id: u64,
     pub rng: SmallRng,
     instances: Vec<Option<Instance>>,
-    life: u64,
+    last_incarnation: u64,
     pub targets: BTreeMap<TargetId, SimTarget>,
     pub requests: Vec<Request>,
-    by_flow: BTreeMap<FlowId, usize>,
+    request_by_flow: BTreeMap<FlowId, usize>,
     next_port: u32,
     pub per_second: f64,
-    pub work: Duration,
-    pub picture: Delta,
-    seeds: Vec<SocketAddr>,
-    /// SYNs sent to a second target.
-    pub again: u64,
-    /// Whether instances hear each other's word on open work.
-    pub told: bool,
-    /// Load reports sent, one an addressee.
-    pub reports: usize,
-    /// Failure domain that is cut off from the others, callers excepted.
-    pub cut: Option<usize>,
-    /// Failure domains that were cut off at some time.
+    pub service_time: Duration,
+    pub store_content: Delta,
+    seed_addresses: Vec<SocketAddr>,
+    /// Number of SYNs that were sent to a second target.
+    pub second_target_syns: u64,
+    /// Whether instances receive each other's load reports.
+    pub load_reports_enabled: bool,
+    /// Number of load reports sent, counted once for each recipient.
+    pub report_count: usize,
+    /// Failure domain that is partitioned from the others; its callers still reach all instances.
+    pub cut_domain: Option<usize>,
+    /// Whether a failure domain was partitioned at any time.
     was_cut: bool,
-    /// An instance whose link to targets is full, and how long packets wait there.
-    pub choked: Option<(usize, Duration)>,
-    /// Whether requests may be repeated.
-    pub safe: bool,
+    /// An instance whose link to targets is congested, and the time that packets wait there.
+    pub congested_link: Option<(usize, Duration)>,
+    /// Whether requests are safe to repeat.
+    pub safe_requests: bool,
     /// What a target with a full queue does.
     pub when_full: WhenFull,
-    /// The route's latency objective, and the time after which a caller gives up.
+    /// The route's latency objective, and the time after which a caller abandons a request.
     objective: Duration,
     timeout: Duration,
-    /// Flows that callers keep open between requests, if they do.
-    users: Vec<Option<KeptFlow>>,
-    /// Checks of targets.
-    pub checks: usize,
-    /// What instances that start have switched off.
+    /// One idle flow for each caller that keeps its flow open between requests; empty if callers use one flow a
+    /// request.
+    idle_flows: Vec<Option<IdleFlow>>,
+    /// Number of reachability checks of targets.
+    pub check_count: usize,
+    /// Mechanisms of the instances that start from now on.
     pub mechanisms: Mechanisms,
-    /// Probes of its readiness that each instance has missed in a row; `None` while the fabric asks nobody and callers
-    /// reach all instances that are up.
+    /// Consecutive failed readiness probes of each instance; `None` while the fabric does not probe and callers reach
+    /// every running instance.
     probes_missed: Option<Vec<u32>>,
-    /// All packets sent, by the numbers that stand for their bytes.
+    /// All packets sent. The index of a packet stands for its bytes.
     segments: Vec<Segment>,
-    current: Box<[u8]>,
-    /// Decisions about each flow, with the instance that made them.
-    trace: BTreeMap<FlowId, Vec<(Timestamp, usize, Decision)>>,
+    current_packet: Box<[u8]>,
+    /// Decisions about each flow, each with its time and the instance that made it.
+    decisions_by_flow: BTreeMap<FlowId, Vec<(Timestamp, usize, Decision)>>,
 }
 
 impl Sim {
     pub fn new(seed: u64, instances: usize, targets: usize, per_second: f64) -> Self {
         let mut sim = Self {
             now: Timestamp::ZERO,
-            events: BinaryHeap::new(),
-            bodies: BTreeMap::new(),
-            next: 0,
+            event_queue: BinaryHeap::new(),
+            pending_events: BTreeMap::new(),
+            last_event_id: 0,
             rng: SmallRng::seed_from_u64(seed),
             instances: (0..instances).map(|_| None).collect(),
-            life: 0,
+            last_incarnation: 0,
             targets: (0..targets).map(|index| (target_id(index), SimTarget::default())).collect(),
             requests: Vec::new(),
-            by_flow: BTreeMap::new(),
+            request_by_flow: BTreeMap::new(),
             next_port: 0,
             per_second,
-            work: ms(33),
-            picture: whole(targets),
-            seeds: (0..3.min(instances)).map(instance_address).collect(),
-            again: 0,
-            told: true,
-            reports: 0,
-            cut: None,
+            service_time: ms(33),
+            store_content: store_snapshot(targets),
+            seed_addresses: (0..3.min(instances)).map(instance_address).collect(),
+            second_target_syns: 0,
+            load_reports_enabled: true,
+            report_count: 0,
+            cut_domain: None,
             was_cut: false,
-            choked: None,
-            safe: false,
+            congested_link: None,
+            safe_requests: false,
             when_full: WhenFull::Silent,
-            objective: OBJECTIVE,
-            timeout: TIMEOUT,
-            users: Vec::new(),
-            checks: 0,
+            objective: LATENCY_OBJECTIVE,
+            timeout: REQUEST_TIMEOUT,
+            idle_flows: Vec::new(),
+            check_count: 0,
             mechanisms: Mechanisms::default(),
             probes_missed: None,
             segments: Vec::new(),
-            current: Box::new([]),
-            trace: BTreeMap::new(),
+            current_packet: Box::new([]),
+            decisions_by_flow: BTreeMap::new(),
         };
         for index in 0..instances {
-            sim.at(Duration::from_millis(index as u64 * 7), Event::Start(index));
+            sim.schedule_at(Duration::from_millis(index as u64 * 7), Event::Start(index));
         }
-        sim.at(Duration::from_secs(1), Event::Ask);
+        sim.schedule_at(Duration::from_secs(1), Event::SendRequest);
         sim
     }
 
-    fn at(&mut self, time: Timestamp, event: Event) {
-        self.next += 1;
-        self.events.push(Reverse((time, self.next)));
-        self.bodies.insert(self.next, event);
+    fn schedule_at(&mut self, time: Timestamp, event: Event) {
+        self.last_event_id += 1;
+        self.event_queue.push(Reverse((time, self.last_event_id)));
+        self.pending_events.insert(self.last_event_id, event);
     }
 
-    fn after(&mut self, wait: Duration, event: Event) {
-        self.at(self.now + wait, event);
+    fn schedule_after(&mut self, wait: Duration, event: Event) {
+        self.schedule_at(self.now + wait, event);
     }
 
     pub fn run_until(&mut self, end: Timestamp) {
-        while let Some(Reverse((time, id))) = self.events.peek().copied() {
+        while let Some(Reverse((time, id))) = self.event_queue.peek().copied() {
             if time > end {
                 break;
             }
-            self.events.pop();
+            self.event_queue.pop();
             self.now = time;
-            if let Some(event) = self.bodies.remove(&id) {
+            if let Some(event) = self.pending_events.remove(&id) {
                 self.handle(event);
             }
         }
         self.now = end;
     }
 
-    /// Makes so many callers ask on flows that they keep open, requests that may be repeated.
-    pub fn keep_flows(&mut self, users: usize) {
-        self.safe = true;
-        self.users = vec![None; users];
-        for versioned in &mut self.picture.entries {
+    /// Makes `callers` callers send safe requests on persistent flows.
+    pub fn keep_flows(&mut self, callers: usize) {
+        self.safe_requests = true;
+        self.idle_flows = vec![None; callers];
+        for versioned in &mut self.store_content.entries {
             if let StoreEntry::Routing(routing) = &mut versioned.entry {
                 routing.routes[0].kind = RequestKind::Safe;
             }
         }
     }
 
-    /// Gives the route another latency objective and time-out, before anything is asked.
-    pub fn set_times(&mut self, objective: Duration, timeout: Duration) {
+    /// Sets the latency objective and timeout of the route. Call it before the first request is sent.
+    pub fn set_route_times(&mut self, objective: Duration, timeout: Duration) {
         (self.objective, self.timeout) = (objective, timeout);
-        for versioned in &mut self.picture.entries {
+        for versioned in &mut self.store_content.entries {
             if let StoreEntry::Routing(routing) = &mut versioned.entry {
                 routing.routes[0].latency_objective = objective;
                 routing.routes[0].timeout = timeout;
@@ -377,9 +378,9 @@
         }
     }
 
-    /// Cuts a failure domain off from the others, callers excepted.
+    /// Partitions a failure domain from the others; its callers still reach all instances.
     pub fn cut_off(&mut self, domain: usize) {
-        self.cut = Some(domain);
+        self.cut_domain = Some(domain);
         self.was_cut = true;
     }
 
@@ -387,21 +388,22 @@
         self.instances[index] = None;
     }
 
-    /// Kills instances one after the other, each as soon as the one before has been up again for a while.
+    /// Kills and restarts instances one after the other, `gap` apart, so that each has been running again for a while
+    /// before the next is killed.
     pub fn restart_in_turn(&mut self, from: Timestamp, gap: Duration, instances: usize) {
         for index in 0..instances {
             let at = from + gap * u32::try_from(index).unwrap();
             self.run_until(at);
             self.kill(index);
-            self.start_at(at + RESTART, index);
+            self.start_at(at + RESTART_DELAY, index);
         }
     }
 
     pub fn start_at(&mut self, time: Timestamp, index: usize) {
-        self.at(time, Event::Start(index));
+        self.schedule_at(time, Event::Start(index));
     }
 
-    /// Tells every instance that is up what the store says.
+    /// Applies a store update at every running instance.
     pub fn publish(&mut self, delta: &Delta) {
         for index in 0..self.instances.len() {
             self.with(index, |instance, now, effects| {
@@ -410,26 +412,26 @@
         }
     }
 
-    /// Changes targets by their numbers.
+    /// Applies `change` to the targets with these indices.
     pub fn change_targets(&mut self, indices: impl IntoIterator<Item = usize>, change: impl Fn(&mut SimTarget)) {
         for index in indices {
             change(self.targets.get_mut(&target_id(index)).unwrap());
         }
     }
 
-    /// Starts more targets, and tells every instance that is up of them, at a revision.
+    /// Starts more targets and publishes their entries to every running instance at `revision`.
     pub fn add_targets(&mut self, indices: &[usize], revision: Revision) {
         self.targets.extend(indices.iter().map(|index| (target_id(*index), SimTarget::default())));
-        let fact = |index: &usize| StoreEntry::Target(target_id(*index), Some(target_facts(*index, Duration::ZERO)));
-        let facts = indices.iter().map(|index| VersionedEntry { revision, entry: fact(index) }).collect();
-        self.publish(&Delta { since: revision - 1, revision, is_snapshot: false, entries: facts });
+        let entry_of = |index: &usize| StoreEntry::Target(target_id(*index), Some(target_spec(*index, Duration::ZERO)));
+        let entries = indices.iter().map(|index| VersionedEntry { revision, entry: entry_of(index) }).collect();
+        self.publish(&Delta { since: revision - 1, revision, is_snapshot: false, entries });
     }
 
-    /// Makes the fabric hand each caller to an instance of its own failure domain that says it is ready, or, while none
-    /// does, to one elsewhere.
+    /// Makes the fabric send each caller to a ready instance of its own failure domain, or to one elsewhere while there
+    /// is none.
     pub fn route_by_readiness(&mut self) {
         self.probes_missed = Some(vec![0; self.instances.len()]);
-        self.after(PROBE, Event::Probe);
+        self.schedule_after(PROBE_PERIOD, Event::Probe);
     }
 
     fn probe(&mut self) {
@@ -445,36 +447,36 @@
         for (missed, ready) in missed.iter_mut().zip(answers) {
             *missed = if ready { 0 } else { *missed + 1 };
         }
-        self.after(PROBE, Event::Probe);
+        self.schedule_after(PROBE_PERIOD, Event::Probe);
     }
 
-    /// Returns the instances among which the fabric picks for a request.
+    /// Returns the instances among which the fabric chooses for a request.
     fn reachable_instances(&self, request: usize) -> Vec<usize> {
         let up = (0..self.instances.len()).filter(|index| self.instances[*index].is_some());
         let Some(missed) = &self.probes_missed else { return up.collect() };
         let in_rotation: Vec<usize> = up.filter(|index| missed[*index] < 2).collect();
-        let near: Vec<usize> =
+        let same_domain: Vec<usize> =
             in_rotation.iter().copied().filter(|index| index % DOMAINS == request % DOMAINS).collect();
-        if near.is_empty() { in_rotation } else { near }
+        if same_domain.is_empty() { in_rotation } else { same_domain }
     }
 
-    fn reaches(&self, from: usize, to: usize) -> bool {
-        self.cut.is_none_or(|cut| (from % DOMAINS == cut) == (to % DOMAINS == cut))
+    fn is_connected(&self, from: usize, to: usize) -> bool {
+        self.cut_domain.is_none_or(|cut| (from % DOMAINS == cut) == (to % DOMAINS == cut))
     }
 
-    /// Returns how long a packet waits at an instance's link to targets.
-    fn queued(&self, from: usize) -> Duration {
-        self.choked.filter(|(index, _)| *index == from).map_or(Duration::ZERO, |(_, wait)| wait)
+    /// Returns the time that a packet waits at an instance's link to targets.
+    fn link_delay(&self, from: usize) -> Duration {
+        self.congested_link.filter(|(index, _)| *index == from).map_or(Duration::ZERO, |(_, wait)| wait)
     }
 
     fn start(&mut self, index: usize) {
-        self.life += 1;
+        self.last_incarnation += 1;
         let address = instance_address(index);
         let id = instance_id(address);
         let failure_domain = domain(index);
         let identity = Identity {
             id,
-            incarnation: self.life,
+            incarnation: self.last_incarnation,
             failure_domain: failure_domain.clone(),
             control: address,
             forward: address,
@@ -485,93 +487,95 @@
             evacuation_grace: Duration::from_secs(4),
             mechanisms: self.mechanisms,
         };
-        let seeds: Vec<SocketAddr> = self.seeds.iter().copied().filter(|seed| *seed != address).collect();
-        let fleet = Fleet::new(self.now, identity, &seeds);
+        let seed_addresses: Vec<SocketAddr> =
+            self.seed_addresses.iter().copied().filter(|seed| *seed != address).collect();
+        let fleet = Fleet::new(self.now, identity, &seed_addresses);
         let dispatcher = Dispatcher::new(config);
-        let life = self.life;
-        self.instances[index] = Some(Instance { dispatcher, fleet, group: Vec::new(), life });
-        self.after(ms(30), Event::Learned(index, life));
-        self.after(Duration::ZERO, Event::Tick(index, life));
+        let incarnation = self.last_incarnation;
+        self.instances[index] = Some(Instance { dispatcher, fleet, group: Vec::new(), incarnation });
+        self.schedule_after(ms(30), Event::ReadStore(index, incarnation));
+        self.schedule_after(Duration::ZERO, Event::Tick(index, incarnation));
     }
 
-    /// Lets an instance do something and carries out what follows.
+    /// Runs `action` on an instance if it is running, and carries out the effects.
     fn with<R>(
         &mut self,
         index: usize,
-        act: impl FnOnce(&mut Instance, Timestamp, &mut Vec<Effect>) -> R,
+        action: impl FnOnce(&mut Instance, Timestamp, &mut Vec<Effect>) -> R,
     ) -> Option<R> {
         let now = self.now;
         let mut effects = Vec::new();
         let instance = self.instances[index].as_mut()?;
-        let result = act(instance, now, &mut effects);
+        let result = action(instance, now, &mut effects);
         let report = instance.dispatcher.take_report();
         let decisions = instance.dispatcher.take_decisions();
         let group = instance.group.clone();
-        self.again += decisions.iter().filter(|decision| decision.outcome == Outcome::PlacedAgain).count() as u64;
+        self.second_target_syns +=
+            decisions.iter().filter(|decision| decision.outcome == Outcome::PlacedAgain).count() as u64;
         for decision in decisions {
-            self.trace.entry(decision.flow).or_default().push((now, index, decision));
+            self.decisions_by_flow.entry(decision.flow).or_default().push((now, index, decision));
         }
         if !report.is_empty() {
-            self.reports += group.len();
+            self.report_count += group.len();
             self.send(index, &group, &Frame::LoadReport(report));
         }
         for effect in effects {
-            self.effect(index, effect);
+            self.carry_out(index, effect);
         }
         Some(result)
     }
 
-    fn effect(&mut self, from: usize, effect: Effect) {
+    fn carry_out(&mut self, from: usize, effect: Effect) {
         match effect {
-            Effect::Forward { target, packet, cookie: written, .. } => {
+            Effect::Forward { target, packet, cookie: new_cookie, .. } => {
                 let bytes = match packet {
-                    Packet::Buffered(kept) => kept,
-                    Packet::Current => self.current.clone(),
+                    Packet::Buffered(bytes) => bytes,
+                    Packet::Current => self.current_packet.clone(),
                 };
                 let mut segment = self.segments[usize::from_le_bytes(bytes[..].try_into().unwrap())];
-                if let Some(written) = written {
-                    segment.cookie = written;
+                if let Some(new_cookie) = new_cookie {
+                    segment.cookie = new_cookie;
                 }
                 let target_index = usize::try_from(target - 0xA000).unwrap();
-                if self.reaches(from, target_index) {
-                    self.after(INSIDE + self.queued(from), Event::AtTarget(target, segment));
+                if self.is_connected(from, target_index) {
+                    self.schedule_after(INTERNAL_DELAY + self.link_delay(from), Event::ArriveAtTarget(target, segment));
                 }
             }
             Effect::Check { target, .. } => {
-                self.checks += 1;
-                let life = self.instances[from].as_ref().map_or(0, |instance| instance.life);
+                self.check_count += 1;
+                let incarnation = self.instances[from].as_ref().map_or(0, |instance| instance.incarnation);
                 let target_index = usize::try_from(target - 0xA000).unwrap();
-                let accepts = self.targets[&target].alive && self.reaches(from, target_index);
-                let wait = INSIDE * 2 + self.queued(from);
+                let accepts = self.targets[&target].alive && self.is_connected(from, target_index);
+                let wait = INTERNAL_DELAY * 2 + self.link_delay(from);
                 let (wait, outcome) = if accepts && wait < CHECK_LIMIT {
                     (wait, CheckOutcome::Accepted)
                 } else {
                     (CHECK_LIMIT, CheckOutcome::TimedOut)
                 };
-                self.after(wait, Event::Checked(from, life, target, outcome));
+                self.schedule_after(wait, Event::CheckFinished(from, incarnation, target, outcome));
             }
             Effect::Reset(segment) => {
-                let Some(request) = self.by_flow.get(&segment.flow).copied() else { return };
-                self.after(TO_CALLER, Event::Reset(request, segment.flow));
+                let Some(request) = self.request_by_flow.get(&segment.flow).copied() else { return };
+                self.schedule_after(CALLER_DELAY, Event::Reset(request, segment.flow));
             }
         }
     }
 
     fn send(&mut self, from: usize, to: &[SocketAddr], frame: &Frame) {
-        if !self.told && matches!(frame, Frame::LoadReport(_)) {
+        if !self.load_reports_enabled && matches!(frame, Frame::LoadReport(_)) {
             return;
         }
         for address in to {
             let index = (0..self.instances.len()).find(|index| instance_address(*index) == *address).unwrap();
             let Some(instance) = &self.instances[index] else { continue };
-            let life = instance.life;
-            if self.reaches(from, index) {
-                self.after(INSIDE, Event::Peer(index, life, Box::new(frame.clone())));
+            let incarnation = instance.incarnation;
+            if self.is_connected(from, index) {
+                self.schedule_after(INTERNAL_DELAY, Event::PeerFrame(index, incarnation, Box::new(frame.clone())));
             }
         }
     }
 
-    fn fleet_effects(&mut self, index: usize, effects: Vec<FleetEffect>) {
+    fn carry_out_fleet_effects(&mut self, index: usize, effects: Vec<FleetEffect>) {
         for effect in effects {
             match effect {
                 FleetEffect::Send(to, frame) => self.send(index, &to, &frame),
@@ -583,9 +587,9 @@
                 FleetEffect::Changed => {
                     self.with(index, |instance, now, _| {
                         instance.group = instance.fleet.group();
-                        let whole = instance.fleet.is_one_group();
+                        let is_one_group = instance.fleet.is_one_group();
                         let (serving, group) = (instance.fleet.serving(), instance.fleet.group_ids());
-                        instance.dispatcher.set_members(now, serving, group, whole);
+                        instance.dispatcher.set_members(now, serving, group, is_one_group);
                     });
                 }
                 FleetEffect::ApplyDelta(delta) => {
@@ -596,103 +600,109 @@
         }
     }
 
-    fn is_life(&self, index: usize, life: u64) -> bool {
-        self.instances[index].as_ref().is_some_and(|instance| instance.life == life)
+    fn is_current_run(&self, index: usize, incarnation: u64) -> bool {
+        self.instances[index].as_ref().is_some_and(|instance| instance.incarnation == incarnation)
     }
 
     fn handle(&mut self, event: Event) {
         match event {
             Event::Start(index) => self.start(index),
-            Event::Learned(index, life) if self.is_life(index, life) => {
-                let picture = self.picture.clone();
-                self.with(index, |instance, now, effects| instance.dispatcher.apply_delta(now, &picture, effects));
-                self.ask_peer(index, life);
+            Event::ReadStore(index, incarnation) if self.is_current_run(index, incarnation) => {
+                let content = self.store_content.clone();
+                self.with(index, |instance, now, effects| instance.dispatcher.apply_delta(now, &content, effects));
+                self.pull_from_peer(index, incarnation);
             }
-            Event::Tick(index, life) if self.is_life(index, life) => self.tick(index, life),
-            Event::Peer(index, life, frame) if self.is_life(index, life) => {
+            Event::Tick(index, incarnation) if self.is_current_run(index, incarnation) => self.tick(index, incarnation),
+            Event::PeerFrame(index, incarnation, frame) if self.is_current_run(index, incarnation) => {
                 let effects = self.with(index, |instance, now, _| {
                     let revision = instance.dispatcher.directory().revision();
                     instance.fleet.frame(now, *frame, revision)
                 });
-                self.fleet_effects(index, effects.unwrap_or_default());
+                self.carry_out_fleet_effects(index, effects.unwrap_or_default());
             }
-            Event::Pulled(index, life, handover) if self.is_life(index, life) => {
+            Event::HandoverReceived(index, incarnation, handover) if self.is_current_run(index, incarnation) => {
                 self.with(index, |instance, now, effects| instance.dispatcher.apply_handover(now, &handover, effects));
             }
-            Event::Checked(index, life, target, outcome) if self.is_life(index, life) => {
+            Event::CheckFinished(index, incarnation, target, outcome) if self.is_current_run(index, incarnation) => {
                 self.with(index, |instance, now, effects| {
                     instance.dispatcher.check_finished(now, target, outcome, effects);
                 });
             }
-            Event::Data(request, attempt) => self.data(request, attempt),
+            Event::SendData(request, attempt) => self.transmit_data(request, attempt),
             Event::Deadline(request) => self.deadline(request),
-            Event::Ask => self.ask(),
+            Event::SendRequest => self.send_request(),
             Event::Probe => self.probe(),
-            Event::Syn(request, attempt, retransmissions) => self.syn(request, attempt, retransmissions),
-            Event::AttemptEnds(request, attempt) => self.attempt_ends(request, attempt),
-            Event::AtInstance(index, segment) => self.at_instance(index, segment),
-            Event::AtTarget(target, segment) => self.at_target(target, segment),
-            Event::Opened(request, flow, target) => self.opened(request, flow, target),
-            Event::Done(target, work) => self.done(target, &work),
+            Event::SendSyn(request, attempt, retransmissions) => self.send_syn(request, attempt, retransmissions),
+            Event::AttemptTimeout(request, attempt) => self.attempt_timed_out(request, attempt),
+            Event::ArriveAtInstance(index, segment) => self.arrive_at_instance(index, segment),
+            Event::ArriveAtTarget(target, segment) => self.arrive_at_target(target, segment),
+            Event::SynAnswered(request, flow, target) => self.syn_answered(request, flow, target),
+            Event::RequestFinished(target, queued) => self.request_finished(target, &queued),
             Event::Answered(request, flow) => self.answered(request, flow),
             Event::Failed(request, flow) => self.failed(request, flow),
-            Event::Shed(request, flow) => self.shed(request, flow),
+            Event::Refused(request, flow) => self.refused(request, flow),
             Event::Reset(request, flow) => self.reset(request, flow),
-            Event::Learned(..) | Event::Tick(..) | Event::Peer(..) | Event::Pulled(..) | Event::Checked(..) => {}
+            Event::ReadStore(..)
+            | Event::Tick(..)
+            | Event::PeerFrame(..)
+            | Event::HandoverReceived(..)
+            | Event::CheckFinished(..) => {}
         }
     }
 
-    /// Hands over what another instance knows, as a pull over the network would.
-    fn ask_peer(&mut self, index: usize, life: u64) {
+    /// Pulls a handover from a reachable peer, as an exchange over the network would.
+    fn pull_from_peer(&mut self, index: usize, incarnation: u64) {
         let now = self.now;
         let known: Vec<SocketAddr> = self.instances[index].as_ref().map(|i| i.fleet.group()).unwrap_or_default();
         let peer = (0..self.instances.len()).find(|peer| {
-            known.contains(&instance_address(*peer)) && self.reaches(index, *peer) && self.instances[*peer].is_some()
+            known.contains(&instance_address(*peer))
+                && self.is_connected(index, *peer)
+                && self.instances[*peer].is_some()
         });
         let handover = peer.and_then(|peer| self.instances[peer].as_ref()).map(|peer| peer.dispatcher.handover(now, 0));
         if let Some(handover) = handover {
-            self.after(ms(4), Event::Pulled(index, life, Box::new(handover)));
+            self.schedule_after(ms(4), Event::HandoverReceived(index, incarnation, Box::new(handover)));
         }
     }
 
-    fn tick(&mut self, index: usize, life: u64) {
+    fn tick(&mut self, index: usize, incarnation: u64) {
         let effects = self.with(index, |instance, now, effects| {
             instance.dispatcher.tick(now, effects);
             let revision = instance.dispatcher.directory().revision();
             instance.fleet.tick(now, revision)
         });
-        self.fleet_effects(index, effects.unwrap_or_default());
-        self.after(TICK, Event::Tick(index, life));
+        self.carry_out_fleet_effects(index, effects.unwrap_or_default());
+        self.schedule_after(TICK_PERIOD, Event::Tick(index, incarnation));
     }
 
-    fn ask(&mut self) {
+    fn send_request(&mut self) {
         let request = self.requests.len();
-        let user = (!self.users.is_empty()).then(|| self.rng.random_range(0..self.users.len()));
-        let kept = user.and_then(|user| self.users[user].take());
-        let flow = kept.map_or_else(|| self.new_flow(), |kept| kept.flow);
+        let persistent_caller = (!self.idle_flows.is_empty()).then(|| self.rng.random_range(0..self.idle_flows.len()));
+        let idle = persistent_caller.and_then(|caller| self.idle_flows[caller].take());
+        let flow = idle.map_or_else(|| self.new_flow(), |idle| idle.flow);
         self.requests.push(Request {
-            asked: self.now,
-            answered: None,
-            runs: 0,
-            tries: 0,
+            sent_at: self.now,
+            answered_at: None,
+            run_count: 0,
+            attempt_count: 0,
             flow,
-            opened: None,
+            established: None,
             attempt: 0,
-            user,
-            received: kept.map_or(FIRST_RECEIVED, |kept| kept.received),
-            resets: 0,
+            persistent_caller,
+            received_bytes: idle.map_or(INITIAL_RECEIVED_BYTES, |idle| idle.received_bytes),
+            reset_count: 0,
             failed: false,
-            shed: 0,
+            refused_attempts: 0,
             hung: false,
         });
-        if let Some(kept) = kept {
-            self.begin_on(request, kept);
+        if let Some(idle) = idle {
+            self.start_attempt_on(request, idle);
         } else {
-            self.begin(request, flow);
+            self.start_attempt(request, flow);
         }
-        self.after(self.timeout, Event::Deadline(request));
+        self.schedule_after(self.timeout, Event::Deadline(request));
         let gap = -self.rng.random_range(f64::EPSILON..1.0).ln() / self.per_second;
-        self.after(Duration::from_secs_f64(gap), Event::Ask);
+        self.schedule_after(Duration::from_secs_f64(gap), Event::SendRequest);
     }
 
     fn new_flow(&mut self) -> FlowId {
@@ -702,77 +712,77 @@
         FlowId { caller, service: service_address() }
     }
 
-    fn begin(&mut self, request: usize, flow: FlowId) {
+    fn start_attempt(&mut self, request: usize, flow: FlowId) {
         let state = &mut self.requests[request];
-        state.tries += 1;
+        state.attempt_count += 1;
         state.attempt += 1;
         state.flow = flow;
-        state.opened = None;
-        state.received = FIRST_RECEIVED;
+        state.established = None;
+        state.received_bytes = INITIAL_RECEIVED_BYTES;
         let attempt = state.attempt;
-        self.by_flow.insert(flow, request);
+        self.request_by_flow.insert(flow, request);
         for (retransmissions, wait) in [(0, 0), (1, 200), (2, 600)] {
-            self.after(ms(wait), Event::Syn(request, attempt, retransmissions));
+            self.schedule_after(ms(wait), Event::SendSyn(request, attempt, retransmissions));
         }
-        self.after(ms(1_400), Event::AttemptEnds(request, attempt));
+        self.schedule_after(ms(1_400), Event::AttemptTimeout(request, attempt));
     }
 
-    /// Asks on a flow that is open.
-    fn begin_on(&mut self, request: usize, kept: KeptFlow) {
+    /// Starts an attempt on a flow that is open.
+    fn start_attempt_on(&mut self, request: usize, idle: IdleFlow) {
         let state = &mut self.requests[request];
-        state.tries += 1;
+        state.attempt_count += 1;
         state.attempt += 1;
-        state.opened = Some(kept.opened);
+        state.established = Some(idle.established);
         let attempt = state.attempt;
-        self.by_flow.insert(kept.flow, request);
-        self.send_data(request, attempt);
+        self.request_by_flow.insert(idle.flow, request);
+        self.schedule_data(request, attempt);
     }
 
-    /// Sends a request on its flow, and again as long as nothing has come back.
-    fn send_data(&mut self, request: usize, attempt: u32) {
+    /// Schedules the transmission of a request and its retransmissions, which stop once an answer has arrived.
+    fn schedule_data(&mut self, request: usize, attempt: u32) {
         for wait in [0, 200, 600, 1_400] {
-            self.after(ms(wait), Event::Data(request, attempt));
+            self.schedule_after(ms(wait), Event::SendData(request, attempt));
         }
     }
 
-    fn data(&mut self, request: usize, attempt: u32) {
-        let Some((_, cookie)) = self.requests[request].opened else { return };
+    fn transmit_data(&mut self, request: usize, attempt: u32) {
+        let Some((_, cookie)) = self.requests[request].established else { return };
         if self.is_open(request, attempt) {
-            let received = self.requests[request].received;
-            self.pass_to_instance(request, SegmentKind::Ack, received, 500, cookie);
+            let received_bytes = self.requests[request].received_bytes;
+            self.send_to_instance(request, SegmentKind::Ack, received_bytes, 500, cookie);
         }
     }
 
     fn deadline(&mut self, request: usize) {
         let state = &self.requests[request];
-        if let (None, Some((_, cookie))) = (state.answered, state.opened) {
-            let received = state.received;
-            self.pass_to_instance(request, SegmentKind::Rst, received, 0, cookie);
+        if let (None, Some((_, cookie))) = (state.answered_at, state.established) {
+            let received_bytes = state.received_bytes;
+            self.send_to_instance(request, SegmentKind::Rst, received_bytes, 0, cookie);
         }
     }
 
-    /// Tells whether an attempt is still the one under way and its request still wanted.
+    /// Returns whether an attempt is still the current one and its request is neither answered nor past its timeout.
     fn is_open(&self, request: usize, attempt: u32) -> bool {
         let state = &self.requests[request];
-        state.attempt == attempt && state.answered.is_none() && self.now < state.asked + self.timeout
+        state.attempt == attempt && state.answered_at.is_none() && self.now < state.sent_at + self.timeout
     }
 
-    fn syn(&mut self, request: usize, attempt: u32, retransmissions: u32) {
-        if self.is_open(request, attempt) && self.requests[request].opened.is_none() {
-            self.pass_to_instance(request, SegmentKind::Syn { retransmissions }, 0, 0, 0);
+    fn send_syn(&mut self, request: usize, attempt: u32, retransmissions: u32) {
+        if self.is_open(request, attempt) && self.requests[request].established.is_none() {
+            self.send_to_instance(request, SegmentKind::Syn { retransmissions }, 0, 0, 0);
         }
     }
 
-    fn attempt_ends(&mut self, request: usize, attempt: u32) {
-        if self.is_open(request, attempt) && self.requests[request].opened.is_none() {
+    fn attempt_timed_out(&mut self, request: usize, attempt: u32) {
+        if self.is_open(request, attempt) && self.requests[request].established.is_none() {
             self.retry(request);
         }
     }
 
     fn retry(&mut self, request: usize) {
-        if self.requests[request].tries <= RETRIES {
+        if self.requests[request].attempt_count <= MAX_RETRIES {
             let flow = self.new_flow();
-            self.begin(request, flow);
+            self.start_attempt(request, flow);
         }
     }
 
@@ -782,19 +792,22 @@
         if state.flow != flow {
             return;
         }
-        state.resets += 1;
-        let trace = self.trace.get(&flow);
-        let harmed = |(target, _): (TargetId, Cookie)| self.was_cut || !self.targets[&target].alive;
-        let allowed = state.opened.is_none_or(harmed);
-        assert!(allowed, "at {now:?} a reset hit a flow that was open: {state:?} {trace:#?}");
+        state.reset_count += 1;
+        let decisions = self.decisions_by_flow.get(&flow);
+        let target_lost = |(target, _): (TargetId, Cookie)| self.was_cut || !self.targets[&target].alive;
+        let allowed = state.established.is_none_or(target_lost);
+        assert!(
+            allowed,
+            "at {now:?} a reset was sent on an open flow whose target is reachable: {state:?} {decisions:#?}"
+        );
         let attempt = state.attempt;
         if self.is_open(request, attempt) {
             self.retry(request);
         }
     }
 
-    /// Sends a caller's packet to the instance that the fabric picks.
-    fn pass_to_instance(
+    /// Sends a caller's packet to the instance that the fabric chooses.
+    fn send_to_instance(
         &mut self,
         request: usize,
         kind: SegmentKind,
@@ -807,178 +820,185 @@
         let segment = Segment { flow, kind, sequence, acknowledged, payload_bytes, cookie };
         let up = self.reachable_instances(request);
         if let Some(pick) = up.get(usize::try_from(flow.hash64() % up.len().max(1) as u64).unwrap()) {
-            self.after(TO_CALLER, Event::AtInstance(*pick, segment));
+            self.schedule_after(CALLER_DELAY, Event::ArriveAtInstance(*pick, segment));
         }
     }
 
-    fn at_instance(&mut self, index: usize, segment: Segment) {
+    fn arrive_at_instance(&mut self, index: usize, segment: Segment) {
         self.segments.push(segment);
-        self.current = Box::new((self.segments.len() - 1).to_le_bytes());
-        let packet = self.current.clone();
+        self.current_packet = Box::new((self.segments.len() - 1).to_le_bytes());
+        let packet = self.current_packet.clone();
         self.with(index, |instance, now, effects| instance.dispatcher.handle_packet(now, &segment, &packet, effects));
     }
 
-    fn at_target(&mut self, id: TargetId, segment: Segment) {
-        let request = self.by_flow[&segment.flow];
+    fn arrive_at_target(&mut self, id: TargetId, segment: Segment) {
+        let request = self.request_by_flow[&segment.flow];
         let now = self.now;
         let Some(target) = self.targets.get_mut(&id).filter(|target| target.alive) else { return };
         match segment.kind {
             SegmentKind::Syn { .. } => {
-                target.opened.push(now);
+                target.syn_times.push(now);
                 target.flows.entry(segment.flow).or_insert(None);
-                self.after(TO_CALLER, Event::Opened(request, segment.flow, id));
+                self.schedule_after(CALLER_DELAY, Event::SynAnswered(request, segment.flow, id));
             }
             SegmentKind::Ack if segment.payload_bytes > 0 => {
                 if target.fails > 0.0 && self.rng.random_bool(target.fails) {
-                    self.after(TO_CALLER, Event::Failed(request, segment.flow));
+                    self.schedule_after(CALLER_DELAY, Event::Failed(request, segment.flow));
                     return;
                 }
-                let Some(taken) = target.flows.get_mut(&segment.flow) else { return };
-                if taken.replace(request) == Some(request) {
+                let Some(last_accepted) = target.flows.get_mut(&segment.flow) else { return };
+                if last_accepted.replace(request) == Some(request) {
                     return;
                 }
-                if target.queue.len() < TARGET_QUEUE {
-                    target.queue.push_back(Work { request, flow: segment.flow, hangs: false });
-                    self.work(id);
+                if target.queue.len() < TARGET_QUEUE_CAPACITY {
+                    target.queue.push_back(QueuedRequest { request, flow: segment.flow, never_answered: false });
+                    self.start_next_request(id);
                 } else if self.when_full == WhenFull::Refuse {
-                    self.after(TO_CALLER + SHED_AFTER, Event::Shed(request, segment.flow));
+                    self.schedule_after(CALLER_DELAY + REFUSAL_DELAY, Event::Refused(request, segment.flow));
                 }
             }
             SegmentKind::Ack | SegmentKind::Fin | SegmentKind::Rst => {}
         }
     }
 
-    fn work(&mut self, id: TargetId) {
+    fn start_next_request(&mut self, id: TargetId) {
         let spread = self.rng.random_range(0.4..1.6);
         let Some(target) = self.targets.get_mut(&id) else { return };
-        if target.busy >= 2 {
+        if target.running >= 2 {
             return;
         }
-        let Some(mut work) = target.queue.pop_front() else { return };
-        target.busy += 1;
-        let mut took = self.work.mul_f64(spread * target.slow);
-        let state = &mut self.requests[work.request];
-        state.runs += 1;
+        let Some(mut queued) = target.queue.pop_front() else { return };
+        target.running += 1;
+        let mut duration = self.service_time.mul_f64(spread * target.slow);
+        let state = &mut self.requests[queued.request];
+        state.run_count += 1;
         if target.hangs > 0.0 && self.rng.random_bool(target.hangs) {
             state.hung = true;
-            work.hangs = true;
-            took = (state.asked + self.timeout).saturating_sub(self.now);
+            queued.never_answered = true;
+            duration = (state.sent_at + self.timeout).saturating_sub(self.now);
         }
-        self.after(took, Event::Done(id, work));
+        self.schedule_after(duration, Event::RequestFinished(id, queued));
     }
 
-    fn opened(&mut self, request: usize, flow: FlowId, target: TargetId) {
+    fn syn_answered(&mut self, request: usize, flow: FlowId, target: TargetId) {
         let attempt = self.requests[request].attempt;
         if self.requests[request].flow != flow || !self.is_open(request, attempt) {
             return;
         }
         let state = &mut self.requests[request];
-        if state.opened.is_some() {
+        if state.established.is_some() {
             return;
         }
-        state.opened = Some((target, cookie(target)));
-        self.send_data(request, attempt);
+        state.established = Some((target, cookie(target)));
+        self.schedule_data(request, attempt);
     }
 
-    fn done(&mut self, id: TargetId, work: &Work) {
+    fn request_finished(&mut self, id: TargetId, queued: &QueuedRequest) {
         let Some(target) = self.targets.get_mut(&id) else { return };
-        target.busy -= 1;
-        if target.alive && !work.hangs {
-            self.after(TO_CALLER, Event::Answered(work.request, work.flow));
+        target.running -= 1;
+        if target.alive && !queued.never_answered {
+            self.schedule_after(CALLER_DELAY, Event::Answered(queued.request, queued.flow));
         }
-        self.work(id);
+        self.start_next_request(id);
     }
 
     fn answered(&mut self, request: usize, flow: FlowId) {
         let now = self.now;
         let state = &mut self.requests[request];
-        if state.flow != flow || state.answered.is_some() || now > state.asked + self.timeout {
+        if state.flow != flow || state.answered_at.is_some() || now > state.sent_at + self.timeout {
             return;
         }
-        state.answered = Some(now);
-        let opened = state.opened.unwrap();
-        let received = state.received + ANSWER_BYTES;
-        let user = state.user;
-        self.pass_to_instance(request, SegmentKind::Ack, received, 0, opened.1);
-        if let Some(user) = user {
-            self.users[user] = Some(KeptFlow { flow, opened, received });
+        state.answered_at = Some(now);
+        let established = state.established.unwrap();
+        let received_bytes = state.received_bytes + ANSWER_BYTES;
+        let persistent_caller = state.persistent_caller;
+        self.send_to_instance(request, SegmentKind::Ack, received_bytes, 0, established.1);
+        if let Some(persistent_caller) = persistent_caller {
+            self.idle_flows[persistent_caller] = Some(IdleFlow { flow, established, received_bytes });
         } else {
-            self.pass_to_instance(request, SegmentKind::Fin, received, 0, opened.1);
+            self.send_to_instance(request, SegmentKind::Fin, received_bytes, 0, established.1);
         }
     }
 
-    /// The caller gets a short answer that says that its request has failed, and gives the request up.
+    /// Delivers a short answer which reports that the request has failed; the caller abandons the request.
     fn failed(&mut self, request: usize, flow: FlowId) {
         let state = &mut self.requests[request];
-        let Some((_, cookie)) = state.opened.filter(|_| state.flow == flow) else { return };
-        // No further attempt is made, and no answer counts any more.
+        let Some((_, cookie)) = state.established.filter(|_| state.flow == flow) else { return };
+        // The caller makes no further attempt, and a later answer no longer counts.
         state.failed = true;
-        state.tries = RETRIES + 1;
-        self.pass_to_instance(request, SegmentKind::Ack, 250, 0, cookie);
-        self.pass_to_instance(request, SegmentKind::Fin, 250, 0, cookie);
+        state.attempt_count = MAX_RETRIES + 1;
+        self.send_to_instance(request, SegmentKind::Ack, 250, 0, cookie);
+        self.send_to_instance(request, SegmentKind::Fin, 250, 0, cookie);
     }
 
-    /// The caller learns that a full target has not run its request, and asks again.
-    fn shed(&mut self, request: usize, flow: FlowId) {
+    /// Delivers the report that a full target has not run the request; the caller retries.
+    fn refused(&mut self, request: usize, flow: FlowId) {
         let state = &mut self.requests[request];
-        let Some((_, cookie)) = state.opened.filter(|_| state.flow == flow) else { return };
-        state.shed += 1;
+        let Some((_, cookie)) = state.established.filter(|_| state.flow == flow) else { return };
+        state.refused_attempts += 1;
         let attempt = state.attempt;
-        self.pass_to_instance(request, SegmentKind::Ack, 250, 0, cookie);
-        self.pass_to_instance(request, SegmentKind::Fin, 250, 0, cookie);
+        self.send_to_instance(request, SegmentKind::Ack, 250, 0, cookie);
+        self.send_to_instance(request, SegmentKind::Fin, 250, 0, cookie);
         if self.is_open(request, attempt) {
             self.retry(request);
         }
     }
 
-    /// Returns the parts of the requests asked in a span that were answered in time and that were answered at all.
+    /// Returns the shares of the requests sent in a span that were answered within the latency objective and that were
+    /// answered at all.
     pub fn served(&self, from: Timestamp, to: Timestamp) -> (f64, f64) {
-        let asked: Vec<&Request> = self.requests.iter().filter(|r| r.asked >= from && r.asked < to).collect();
-        let in_time = asked.iter().filter(|r| r.answered.is_some_and(|at| at <= r.asked + self.objective)).count();
-        let at_all = asked.iter().filter(|r| r.answered.is_some()).count();
-        let part =
-            |count: usize| f64::from(u32::try_from(count).unwrap()) / f64::from(u32::try_from(asked.len()).unwrap());
-        (part(in_time), part(at_all))
+        let sent: Vec<&Request> = self.requests.iter().filter(|r| r.sent_at >= from && r.sent_at < to).collect();
+        let in_time = sent.iter().filter(|r| r.answered_at.is_some_and(|at| at <= r.sent_at + self.objective)).count();
+        let at_all = sent.iter().filter(|r| r.answered_at.is_some()).count();
+        let share =
+            |count: usize| f64::from(u32::try_from(count).unwrap()) / f64::from(u32::try_from(sent.len()).unwrap());
+        (share(in_time), share(at_all))
     }
 
-    /// Returns the decisions of a kind.
-    pub fn decided(&self, outcome: Outcome) -> impl Iterator<Item = &Decision> {
-        self.trace.values().flatten().map(|(_, _, decision)| decision).filter(move |it| it.outcome == outcome)
+    /// Returns the decisions with an outcome.
+    pub fn decisions_with(&self, outcome: Outcome) -> impl Iterator<Item = &Decision> {
+        self.decisions_by_flow
+            .values()
+            .flatten()
+            .map(|(_, _, decision)| decision)
+            .filter(move |it| it.outcome == outcome)
     }
 
-    /// Returns how many targets are set aside, as each instance sees it, added up.
-    pub fn set_aside(&self) -> usize {
+    /// Returns the number of ejected targets, summed over all instances.
+    pub fn ejected_total(&self) -> usize {
         self.instances.iter().flatten().map(|instance| instance.dispatcher.failing_count(self.now)).sum()
     }
 
-    /// Returns how many requests targets have taken that they never answer.
-    pub fn hung(&self) -> usize {
+    /// Returns the number of requests that targets have accepted and never answer.
+    pub fn hung_requests(&self) -> usize {
         self.requests.iter().filter(|request| request.hung).count()
     }
 
-    /// Returns how many tries full targets have refused.
-    pub fn shed_tries(&self) -> u32 {
-        self.requests.iter().map(|request| request.shed).sum()
+    /// Returns the number of attempts that full targets refused.
+    pub fn refused_attempts(&self) -> u32 {
+        self.requests.iter().map(|request| request.refused_attempts).sum()
     }
 
-    /// Returns the state in one line: what targets hold, what instances believe and let wait, counts of decisions.
-    pub fn snapshot(&self) -> String {
-        let held: Vec<usize> = self.targets.values().map(|target| target.busy + target.queue.len()).collect();
-        let mut text = format!("held {held:?}");
+    /// Returns the state as text: requests at each target, each instance's estimate of them, and counts of its flows
+    /// and queued flows.
+    pub fn state_text(&self) -> String {
+        let counts: Vec<usize> = self.targets.values().map(|target| target.running + target.queue.len()).collect();
+        let mut text = format!("requests at targets {counts:?}");
         for instance in self.instances.iter().flatten() {
             let dispatcher = &instance.dispatcher;
             let counts: Vec<u32> = self.targets.keys().map(|id| dispatcher.open_requests().count(*id)).collect();
-            let (flows, waiting) = dispatcher.flow_counts();
-            let _ = write!(text, "\n      believed {counts:?} flows {flows} waiting {waiting}");
+            let (flows, queued) = dispatcher.flow_counts();
+            let _ = write!(text, "\n      estimated {counts:?} flows {flows} queued {queued}");
         }
         text
     }
 
-    /// Asserts what must hold in every run.
-    pub fn check(&self) {
-        let doubled = self.requests.iter().filter(|request| request.runs > request.tries).count();
-        assert_eq!(doubled, 0, "requests that ran more often than they were sent");
-        let unsafe_doubled = self.requests.iter().filter(|request| request.runs > 1).count();
-        assert!(self.safe || unsafe_doubled == 0, "requests that ran more than once");
+    /// Asserts the invariants of every run: no request runs more often than it was sent, and an unsafe one at most
+    /// once.
+    pub fn assert_invariants(&self) {
+        let overrun = self.requests.iter().filter(|request| request.run_count > request.attempt_count).count();
+        assert_eq!(overrun, 0, "requests that ran more often than they were sent");
+        let unsafe_repeated = self.requests.iter().filter(|request| request.run_count > 1).count();
+        assert!(self.safe_requests || unsafe_repeated == 0, "requests that ran more than once");
     }
 }
--- a/crates/core/tests/direct/hanging.rs
+++ b/crates/core/tests/direct/hanging.rs
@@ -39,17 +39,21 @@
 fn targets_that_hang_get_few_requests() {
     for seed in 0..4 {
         let sim = hang(seed, 1.0, Mechanisms::default());
-        sim.check();
-        assert!(sim.hung() <= MOST * HIT.len(), "seed {seed}: {} requests were never answered", sim.hung());
+        sim.assert_invariants();
+        assert!(
+            sim.hung_requests() <= MOST * HIT.len(),
+            "seed {seed}: {} requests were never answered",
+            sim.hung_requests()
+        );
     }
 }
 
 /// Guards against targets being cleared by the requests that they answer between those that they swallow.
 #[test]
 fn targets_that_hang_in_part_get_few_requests() {
-    let with: usize = (0..4).map(|seed| hang(seed, 0.45, Mechanisms::default()).hung()).sum();
+    let with: usize = (0..4).map(|seed| hang(seed, 0.45, Mechanisms::default()).hung_requests()).sum();
     let without = Mechanisms::default().without(Mechanism::OverdueDetection);
-    let without: usize = (0..4).map(|seed| hang(seed, 0.45, without).hung()).sum();
+    let without: usize = (0..4).map(|seed| hang(seed, 0.45, without).hung_requests()).sum();
     assert!(with <= MOST * HIT.len() * 4, "{with} requests were never answered");
     assert!(with < without, "{with} requests were never answered, {without} without detection");
 }
@@ -59,8 +63,8 @@
 fn targets_that_hang_no_more_are_used_again() {
     let mut sim = hang(5, 1.0, Mechanisms::default());
     sim.run_until(secs(32));
-    sim.check();
-    let opened = |index: usize| sim.targets[&target_id(index)].opened.iter().filter(|at| **at > secs(28)).count();
+    sim.assert_invariants();
+    let opened = |index: usize| sim.targets[&target_id(index)].syn_times.iter().filter(|at| **at > secs(28)).count();
     assert!(opened(HIT[0]) * 3 > opened(0), "{} requests, {} at another target", opened(HIT[0]), opened(0));
 }
 
@@ -73,24 +77,24 @@
     sim.run_until(secs(10));
     sim.change_targets(HIT, |target| target.slow = 1.0);
     sim.run_until(secs(12));
-    sim.check();
-    let overdue = sim.decided(Outcome::AnswerOverdue).count();
-    let answered = sim.decided(Outcome::AnsweredOverdue).count();
+    sim.assert_invariants();
+    let overdue = sim.decisions_with(Outcome::AnswerOverdue).count();
+    let answered = sim.decisions_with(Outcome::AnsweredOverdue).count();
     assert!(overdue > 0, "no answer was overdue");
     assert!(answered >= overdue, "{overdue} answers were overdue, {answered} came after all");
-    assert_eq!(sim.set_aside(), 0);
+    assert_eq!(sim.ejected_total(), 0);
 }
 
 /// Guards against all targets being judged at once when all have turned slow: then it is the work that has changed.
 #[test]
 fn targets_that_are_all_slow_are_not_set_aside() {
     let mut sim = Sim::new(7, 9, 14, 80.0);
-    sim.set_times(ms(1_000), ms(4_000));
+    sim.set_route_times(ms(1_000), ms(4_000));
     sim.run_until(secs(6));
     sim.change_targets(0..14, |target| target.slow = 5.0);
     sim.run_until(secs(12));
-    sim.check();
-    assert_eq!(sim.set_aside(), 0);
+    sim.assert_invariants();
+    assert_eq!(sim.ejected_total(), 0);
     let (_, at_all) = sim.served(secs(6), secs(10));
     assert!(at_all > 0.999, "{at_all}");
 }
@@ -103,10 +107,10 @@
     sim.route_by_readiness();
     sim.restart_in_turn(secs(3), ms(700), 6);
     sim.run_until(secs(14));
-    sim.check();
+    sim.assert_invariants();
     let (in_time, at_all) = sim.served(secs(3), secs(9));
     assert!(in_time > 0.98 && at_all > 0.999, "{in_time} in time, {at_all} at all");
-    assert_eq!(sim.set_aside(), 0);
+    assert_eq!(sim.ejected_total(), 0);
 }
 
 /// Guards against a target being blamed while nothing that was asked later has been answered either.
--- a/crates/core/tests/direct/load.rs
+++ b/crates/core/tests/direct/load.rs
@@ -22,7 +22,7 @@
 fn a_calm_fleet_answers_everybody_in_time() {
     let mut sim = Sim::new(1, 9, 14, USUAL);
     sim.run_until(secs(6));
-    sim.check();
+    sim.assert_invariants();
     let (in_time, at_all) = sim.served(secs(2), secs(5));
     assert!(in_time > 0.99, "{in_time}");
     assert!((at_all - 1.0).abs() < f64::EPSILON, "{at_all}");
@@ -44,7 +44,7 @@
             sim.start_at(secs(4) + ms(1_500 + late), index);
         }
         sim.run_until(secs(10));
-        sim.check();
+        sim.assert_invariants();
         let back = secs(4) + ms(1_950);
         // In the first half second the retries of those who asked during the outage, which look like new requests, take
         // all that the targets can do.
@@ -66,7 +66,7 @@
     sim.run_until(secs(4));
     sim.change_targets([2, 9], |target| target.alive = false);
     sim.run_until(secs(9));
-    sim.check();
+    sim.assert_invariants();
     let (in_time, at_all) = sim.served(secs(4) + ms(100), secs(8));
     assert!(in_time > 0.97, "{in_time}");
     assert!(at_all > 0.995, "{at_all}");
@@ -81,11 +81,11 @@
         let (mut in_time, mut at_all) = (0.0, 0.0);
         for seed in 20..24 {
             let mut sim = Sim::new(seed, 9, 14, 334.0);
-            sim.told = told;
+            sim.load_reports_enabled = told;
             sim.run_until(secs(3));
             sim.change_targets([1, 5, 9], |target| target.slow = 5.0);
             sim.run_until(secs(13));
-            sim.check();
+            sim.assert_invariants();
             let served = sim.served(secs(4), secs(12));
             in_time += served.0 / 4.0;
             at_all += served.1 / 4.0;
@@ -106,11 +106,11 @@
         let mut sim = Sim::new(21, 9, 14, per_second);
         sim.run_until(secs(3));
         sim.change_targets([1, 5, 9], |target| target.slow = slow);
-        let (reports, asked) = (sim.reports, sim.requests.len());
+        let (reports, asked) = (sim.report_count, sim.requests.len());
         sim.run_until(secs(9));
         let (in_time, _) = sim.served(secs(4), secs(8));
         assert!(in_time > 0.96, "{in_time} in time at {per_second} requests a second");
-        let (reports, asked) = (sim.reports - reports, sim.requests.len() - asked);
+        let (reports, asked) = (sim.report_count - reports, sim.requests.len() - asked);
         f64::from(u32::try_from(reports).unwrap()) / f64::from(u32::try_from(asked).unwrap())
     };
     // Each request reported twice to eight peers would be 16.
@@ -145,7 +145,7 @@
     sim.run_until(secs(3));
     sim.change_targets([1, 4, 7, 10, 13], |target| target.slow = 6.0);
     sim.run_until(secs(10));
-    sim.check();
+    sim.assert_invariants();
     let (in_time, at_all) = sim.served(secs(4), secs(9));
     assert!(in_time > 0.75, "{in_time}");
     assert!(at_all > 0.99, "{at_all}");
@@ -161,7 +161,7 @@
     sim.run_until(secs(6));
     sim.per_second = USUAL;
     sim.run_until(secs(9));
-    sim.check();
+    sim.assert_invariants();
     let (in_time, at_all) = sim.served(secs(3), secs(6));
     assert!(in_time > 0.9, "{in_time}");
     assert!(at_all > 0.999, "{at_all}");
@@ -177,7 +177,7 @@
     sim.run_until(secs(5));
     sim.per_second = USUAL;
     sim.run_until(secs(9));
-    sim.check();
+    sim.assert_invariants();
     let (in_time, at_all) = sim.served(secs(3), secs(5));
     assert!(in_time > 0.4, "{in_time}");
     assert!(at_all > 0.6, "{at_all}");
@@ -193,11 +193,11 @@
     let mut sim = Sim::new(7, 9, 14, USUAL);
     sim.restart_in_turn(secs(3), ms(700), 6);
     sim.run_until(secs(10));
-    sim.check();
+    sim.assert_invariants();
     let (in_time, at_all) = sim.served(secs(3), secs(9));
     assert!(in_time > 0.98, "{in_time}");
     assert!(at_all > 0.995, "{at_all}");
-    assert!(sim.again < 20, "SYNs sent to a second target: {}", sim.again);
+    assert!(sim.second_target_syns < 20, "SYNs sent to a second target: {}", sim.second_target_syns);
 }
 
 /// A failure domain is cut off from the others, and callers reach all instances. Those inside must find out that only
@@ -208,9 +208,9 @@
     sim.run_until(secs(3));
     sim.cut_off(1);
     sim.run_until(secs(8));
-    sim.cut = None;
+    sim.cut_domain = None;
     sim.run_until(secs(10));
-    sim.check();
+    sim.assert_invariants();
     let (in_time, at_all) = sim.served(secs(3) + ms(200), secs(7));
     assert!(in_time > 0.9, "{in_time}");
     assert!(at_all > 0.97, "{at_all}");
@@ -235,11 +235,11 @@
     let (in_time, at_all) = sim.served(ms(6_200), secs(9));
     assert!(in_time > 0.99, "{in_time}");
     assert!(at_all > 0.999, "{at_all}");
-    sim.cut = None;
+    sim.cut_domain = None;
     let brought_back = VersionedEntry { revision: 30, entry: StoreEntry::Evacuated(domain(1), false) };
     sim.publish(&Delta { since: 20, revision: 30, is_snapshot: false, entries: vec![brought_back] });
     sim.run_until(secs(16));
-    sim.check();
+    sim.assert_invariants();
     let (in_time, at_all) = sim.served(secs(11), secs(15));
     assert!(in_time > 0.99, "{in_time}");
     assert!(at_all > 0.999, "{at_all}");
@@ -254,15 +254,15 @@
     sim.run_until(secs(4));
     sim.change_targets([3, 8], |target| target.fails = 1.0);
     sim.run_until(secs(9));
-    let asked = sim.requests.iter().filter(|request| request.asked >= secs(4) + ms(300)).count();
+    let asked = sim.requests.iter().filter(|request| request.sent_at >= secs(4) + ms(300)).count();
     let failed = sim.requests.iter().filter(|request| request.failed).count();
     sim.change_targets([3, 8], |target| target.fails = 0.0);
     sim.run_until(secs(24));
-    sim.check();
+    sim.assert_invariants();
     assert!(failed * 100 < asked, "{failed} of {asked} requests failed");
     // Mended targets get their part again.
     let late: Vec<usize> = (0..14)
-        .map(|index| sim.targets[&target_id(index)].opened.iter().filter(|at| **at > secs(21)).count())
+        .map(|index| sim.targets[&target_id(index)].syn_times.iter().filter(|at| **at > secs(21)).count())
         .collect();
     assert!(late[3] * 3 > late[0] && late[8] * 3 > late[1], "{late:?}");
 }
@@ -278,7 +278,7 @@
         sim.run_until(secs(6));
         sim.change_targets([1, 5, 9], |target| target.alive = false);
         sim.run_until(secs(14));
-        sim.check();
+        sim.assert_invariants();
         let (_, just_then) = sim.served(secs(6), secs(6) + ms(300));
         let (after, at_all) = sim.served(secs(6) + ms(300), secs(12));
         assert!(just_then > 0.95, "seed {seed}: {just_then} of those who asked just then were answered at all");
@@ -296,7 +296,7 @@
     sim.run_until(secs(6));
     sim.cut_off(1);
     sim.run_until(secs(12));
-    sim.check();
+    sim.assert_invariants();
     let (_, just_then) = sim.served(secs(6), secs(6) + ms(300));
     let (after, at_all) = sim.served(secs(6) + ms(300), secs(10));
     assert!(just_then > 0.95, "{just_then} of those who asked just then were answered at all");
@@ -315,9 +315,9 @@
         sim.change_targets([1, 5, 9], |target| target.slow = 8.0);
         sim.restart_in_turn(secs(5), secs(1), 4);
         sim.run_until(secs(12));
-        sim.check();
+        sim.assert_invariants();
         let asked = sim.requests.len();
-        assert!(sim.checks * 20 < asked, "seed {seed}: {} checks for {asked} requests", sim.checks);
+        assert!(sim.check_count * 20 < asked, "seed {seed}: {} checks for {asked} requests", sim.check_count);
     }
 }
 
@@ -333,7 +333,7 @@
         sim.run_until(secs(8));
         sim.change_targets([1, 5, 9], |target| target.alive = false);
         sim.run_until(secs(12));
-        sim.check();
+        sim.assert_invariants();
         in_time += sim.served(secs(8) + ms(250), secs(10)).0 / 6.0;
     }
     assert!(in_time > 0.99, "{in_time}");
@@ -349,10 +349,10 @@
         let mut sim = Sim::new(seed, 9, 14, 300.0);
         sim.keep_flows(300);
         sim.run_until(secs(5));
-        sim.choked = Some((4, ms(300)));
+        sim.congested_link = Some((4, ms(300)));
         sim.run_until(secs(8));
-        sim.choked = None;
+        sim.congested_link = None;
         sim.run_until(secs(10));
-        sim.check();
+        sim.assert_invariants();
     }
 }
--- a/crates/core/tests/direct/overload.rs
+++ b/crates/core/tests/direct/overload.rs
@@ -39,19 +39,19 @@
         let mut sim = Sim::new(seed, 20, 40, 400.0);
         sim.mechanisms = without.iter().fold(Mechanisms::default(), |all, mechanism| all.without(*mechanism));
         sim.when_full = WhenFull::Refuse;
-        sim.work = ms(24);
-        sim.set_times(ms(400), ms(2_500));
+        sim.service_time = ms(24);
+        sim.set_route_times(ms(400), ms(2_500));
         sim.route_by_readiness();
         sim.run_until(secs(3));
         sim.per_second = times * 40.0 * 2.0 / 0.024;
         sim.run_until(secs(6));
         sim.per_second = 400.0;
         sim.run_until(secs(9));
-        sim.check();
+        sim.assert_invariants();
         let (in_time, at_all) = sim.served(secs(3), secs(6));
         served.in_time += in_time / 3.0;
         served.at_all += at_all / 3.0;
-        served.shed += sim.shed_tries();
+        served.shed += sim.refused_attempts();
     }
     served
 }
@@ -69,7 +69,7 @@
         sim.run_until(secs(7));
         sim.per_second = 425.0;
         sim.run_until(secs(10));
-        sim.check();
+        sim.assert_invariants();
         in_time += sim.served(secs(3), secs(7)).0 / 4.0;
         played.push(sim);
     }
@@ -100,7 +100,7 @@
     let (without, _) = tight(1.2, Mechanisms::default().without(Mechanism::Admission));
     assert!(with > 0.7 && with > without + 0.05, "{with} in time, {without} without");
     for sim in played {
-        let mut waited: Vec<Duration> = sim.decided(Outcome::ResetFull).map(|decision| decision.took).collect();
+        let mut waited: Vec<Duration> = sim.decisions_with(Outcome::ResetFull).map(|decision| decision.took).collect();
         waited.sort_unstable();
         let median = waited[waited.len() / 2];
         assert!(median < ms(10), "half of those that were rejected had waited for {median:?}");
@@ -119,7 +119,7 @@
             sim.start_at(secs(4) + ms(700 + 20 * index as u64), index);
         }
         sim.run_until(secs(10));
-        sim.check();
+        sim.assert_invariants();
         let (_, at_all) = sim.served(secs(4), secs(7));
         assert!(at_all > 0.99, "seed {seed}: {at_all} answered at all");
     }
--- a/crates/core/tests/direct/readiness.rs
+++ b/crates/core/tests/direct/readiness.rs
@@ -4,7 +4,7 @@
 
 use crate::fleet::domain;
 use crate::fleet::ms;
-use crate::fleet::whole;
+use crate::fleet::store_snapshot;
 use hawthornshift_core::Timestamp;
 use hawthornshift_core::direct::dispatcher::Dispatcher;
 use hawthornshift_core::direct::dispatcher::DispatcherConfig;
@@ -24,7 +24,7 @@
     };
     let mut dispatcher = Dispatcher::new(config);
     assert_eq!(dispatcher.readiness(Timestamp::ZERO, true), Readiness::NotSynced);
-    dispatcher.apply_delta(Timestamp::ZERO, &whole(8), &mut Vec::new());
+    dispatcher.apply_delta(Timestamp::ZERO, &store_snapshot(8), &mut Vec::new());
     assert_eq!(dispatcher.readiness(Timestamp::ZERO, false), Readiness::Ready);
     let taken_out = VersionedEntry { revision: 20, entry: StoreEntry::Evacuated(domain(0), true) };
     let delta = Delta { since: 11, revision: 20, is_snapshot: false, entries: vec![taken_out] };
--- a/crates/core/tests/direct/rules.rs
+++ b/crates/core/tests/direct/rules.rs
@@ -12,9 +12,9 @@
 use crate::fleet::ms;
 use crate::fleet::routing;
 use crate::fleet::service_address;
-use crate::fleet::target_facts;
+use crate::fleet::store_snapshot;
 use crate::fleet::target_id;
-use crate::fleet::whole;
+use crate::fleet::target_spec;
 use hawthornshift_core::Timestamp;
 use hawthornshift_core::direct::decision::Decision;
 use hawthornshift_core::direct::decision::Outcome;
@@ -48,7 +48,7 @@
 
 fn ready(targets: usize) -> Dispatcher {
     let mut dispatcher = dispatcher();
-    dispatcher.apply_delta(Timestamp::ZERO, &whole(targets), &mut Vec::new());
+    dispatcher.apply_delta(Timestamp::ZERO, &store_snapshot(targets), &mut Vec::new());
     dispatcher
 }
 
@@ -89,19 +89,20 @@
 fn cold_targets_get_a_trickle_over_all_instances() {
     let mut sim = Sim::new(11, 24, 4, 600.0);
     for index in 0..4 {
-        let facts = target_facts(index, Duration::from_mins(1));
-        sim.picture.entries[index].entry = StoreEntry::Target(target_id(index), Some(facts));
+        let facts = target_spec(index, Duration::from_mins(1));
+        sim.store_content.entries[index].entry = StoreEntry::Target(target_id(index), Some(facts));
     }
     for round in 0..6_usize {
         sim.run_until(Duration::from_secs(2 + round as u64));
         sim.kill(round * 3);
         sim.start_at(sim.now + ms(300), round * 3);
-        sim.cut = (round % 2 == 1).then_some(round % 4);
+        sim.cut_domain = (round % 2 == 1).then_some(round % 4);
     }
     sim.run_until(Duration::from_secs(9));
     for (id, target) in &sim.targets {
-        for from in &target.opened {
-            let within = target.opened.iter().filter(|at| *at >= from && **at < *from + Duration::from_secs(1)).count();
+        for from in &target.syn_times {
+            let within =
+                target.syn_times.iter().filter(|at| *at >= from && **at < *from + Duration::from_secs(1)).count();
             assert!(within <= 5, "target {id:x} got {within} flows within a second");
         }
     }
@@ -111,7 +112,7 @@
 #[test]
 fn a_cold_target_gets_nothing_while_a_warm_one_stands() {
     let mut dispatcher = ready(2);
-    let cold = StoreEntry::Target(target_id(2), Some(target_facts(2, Duration::from_secs(2))));
+    let cold = StoreEntry::Target(target_id(2), Some(target_spec(2, Duration::from_secs(2))));
     dispatcher.apply_delta(Duration::from_secs(1), &news(12, cold), &mut Vec::new());
     for port in 0..200 {
         let now = Duration::from_secs(1) + ms(u64::from(port) * 9);
@@ -128,7 +129,7 @@
 fn a_draining_target_keeps_its_flows_and_gets_no_new_ones() {
     let mut dispatcher = ready(2);
     let open = (0..50).find(|port| sent_to(&act(&mut dispatcher, ms(1), &syn(*port))) == [target_id(1)]).unwrap();
-    let mut facts = target_facts(1, Duration::ZERO);
+    let mut facts = target_spec(1, Duration::ZERO);
     facts.draining = true;
     dispatcher.apply_delta(ms(5), &news(12, StoreEntry::Target(target_id(1), Some(facts))), &mut Vec::new());
     for port in 100..200 {
@@ -200,7 +201,7 @@
     assert_eq!(act(&mut dispatcher, ms(1), &data), Vec::new());
     assert_eq!(act(&mut dispatcher, ms(1), &syn(2)), Vec::new());
     let mut effects = Vec::new();
-    dispatcher.apply_delta(ms(30), &whole(1), &mut effects);
+    dispatcher.apply_delta(ms(30), &store_snapshot(1), &mut effects);
     assert_eq!(sent_to(&effects), [target_id(0)]);
     let kept = matches!(&effects[0], Effect::Forward { packet: Packet::Buffered(kept), .. } if &kept[..] == b"packet");
     assert!(kept, "{effects:?}");
@@ -372,7 +373,7 @@
     for port in 1..10 {
         dispatcher.handle_packet(ms(10), &syn(port), b"syn", &mut effects);
     }
-    let restarted = StoreEntry::Target(target_id(0), Some(target_facts(0, Duration::from_secs(2))));
+    let restarted = StoreEntry::Target(target_id(0), Some(target_spec(0, Duration::from_secs(2))));
     let facts = vec![VersionedEntry { revision: 30, entry: restarted }];
     dispatcher.apply_delta(
         ms(100),
@@ -397,8 +398,8 @@
 #[test]
 fn a_trickle_that_a_peer_has_spent_is_not_spent_again() {
     let mut dispatcher = dispatcher();
-    let mut picture = whole(1);
-    picture.entries[0].entry = StoreEntry::Target(target_id(0), Some(target_facts(0, Duration::from_mins(1))));
+    let mut picture = store_snapshot(1);
+    picture.entries[0].entry = StoreEntry::Target(target_id(0), Some(target_spec(0, Duration::from_mins(1))));
     dispatcher.apply_delta(Timestamp::ZERO, &picture, &mut Vec::new());
     let spent = LoadReport { started: vec![open_request(9, cookie(target_id(0)))], ..LoadReport::default() };
     dispatcher.apply_load_report(ms(1_000), &spent, &mut Vec::new());
--- a/crates/core/tests/direct/store_news.rs
+++ b/crates/core/tests/direct/store_news.rs
@@ -9,13 +9,13 @@
 /// Returns a fleet with its watcher.
 fn watched(seed: u64, count: usize) -> (Members, usize) {
     let fleet = Members::settled(seed, count);
-    let watching = fleet.watching();
+    let watching = fleet.watchers();
     assert_eq!(watching.len(), 1, "{watching:?}");
     (fleet, watching[0])
 }
 
 fn slowest(fleet: &Members, since: Timestamp) -> Option<Duration> {
-    fleet.times_to_know(since).last().copied().flatten()
+    fleet.times_to_revision(since).last().copied().flatten()
 }
 
 /// The watcher tells hundreds of others each change and each announcement. Told one by one they fill its link, and its part
@@ -24,12 +24,12 @@
 fn the_watcher_sends_no_more_than_a_few_others_together() {
     for count in [100, 300, 430] {
         let (mut fleet, watcher) = watched(1, count);
-        let before = fleet.sent.clone();
+        let before = fleet.sent_bytes.clone();
         for _ in 0..10 {
             fleet.publish(true);
             fleet.run(Duration::from_secs(1));
         }
-        let bytes: Vec<u64> = fleet.sent.iter().zip(before).map(|(now, before)| (now - before) / 10).collect();
+        let bytes: Vec<u64> = fleet.sent_bytes.iter().zip(before).map(|(now, before)| (now - before) / 10).collect();
         assert!(bytes[watcher] < 40_000, "{count} instances: {} bytes a second", bytes[watcher]);
         let others = bytes.iter().enumerate().filter(|(index, _)| *index != watcher).map(|(_, bytes)| *bytes);
         assert!(others.max().unwrap() < 8_000, "{count} instances");
@@ -44,7 +44,7 @@
         let since = fleet.now;
         fleet.publish(true);
         fleet.run(Duration::from_secs(2));
-        let times = fleet.times_to_know(since);
+        let times = fleet.times_to_revision(since);
         assert!(times[150].is_some_and(|time| time <= ms(30)), "{:?}", times[150]);
         assert!(
             slowest(&fleet, since).is_some_and(|time| time <= Duration::from_secs(1)),
@@ -74,13 +74,13 @@
 #[test]
 fn large_news_is_fetched_from_many() {
     let (mut fleet, watcher) = watched(3, 300);
-    fleet.handed_over.fill(0);
+    fleet.handover_counts.fill(0);
     let since = fleet.now;
     fleet.publish(false);
     fleet.run(Duration::from_secs(2));
     assert!(slowest(&fleet, since).is_some_and(|time| time <= Duration::from_secs(1)), "{:?}", slowest(&fleet, since));
-    assert!(fleet.handed_over[watcher] <= 60, "{}", fleet.handed_over[watcher]);
-    assert!(fleet.handed_over.iter().max().unwrap() <= &60, "{:?}", fleet.handed_over.iter().max());
+    assert!(fleet.handover_counts[watcher] <= 60, "{}", fleet.handover_counts[watcher]);
+    assert!(fleet.handover_counts.iter().max().unwrap() <= &60, "{:?}", fleet.handover_counts.iter().max());
 }
 
 /// A third of all instances hang at once, so many announcements are not passed on. The others go on hearing enough of them:
@@ -92,7 +92,7 @@
     let mut most = 0;
     for _ in 0..80 {
         fleet.run(ms(50));
-        most = most.max(fleet.watching().len());
+        most = most.max(fleet.watchers().len());
     }
     assert!(most <= 4, "{most}");
 }
@@ -103,13 +103,13 @@
 fn a_domain_that_does_not_reach_the_watcher_gets_its_own() {
     let (mut fleet, watcher) = watched(5, 100);
     let domain = watcher % 6;
-    fleet.cuts = vec![(domain, (domain + 1) % 6)];
+    fleet.partitions = vec![(domain, (domain + 1) % 6)];
     fleet.run(Duration::from_secs(4));
     let since = fleet.now;
     fleet.publish(true);
     fleet.run(Duration::from_secs(2));
     assert!(slowest(&fleet, since).is_some_and(|time| time <= Duration::from_secs(1)), "{:?}", slowest(&fleet, since));
-    fleet.cuts.clear();
+    fleet.partitions.clear();
     fleet.run(Duration::from_secs(3));
-    assert_eq!(fleet.watching().len(), 1);
+    assert_eq!(fleet.watchers().len(), 1);
 }
