--- a/crates/core/tests/direct/fleet.rs
+++ b/crates/core/tests/direct/fleet.rs
@@ -58,15 +58,19 @@
 const CALLER_DELAY: Duration = Duration::from_millis(3);
 /// One-way delay between instances and targets, and between instances.
 const INTERNAL_DELAY: Duration = Duration::from_micros(900);
+/// Maximum number of requests that wait at a target for a slot.
 const TARGET_QUEUE_CAPACITY: usize = 8;
 /// Time after which a full target reports that it has not run a request.
 const REFUSAL_DELAY: Duration = Duration::from_millis(90);
+/// Maximum number of attempts after the first one of a request.
 const MAX_RETRIES: u32 = 2;
 /// Bytes that a caller has received on a new flow when it sends its first request.
 const INITIAL_RECEIVED_BYTES: u32 = 100;
+/// Size of an answer in bytes.
 const ANSWER_BYTES: u32 = 2_000;
 pub const LATENCY_OBJECTIVE: Duration = Duration::from_millis(150);
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Period of each instance's timers.
 const TICK_PERIOD: Duration = Duration::from_millis(10);
 /// Time between the end of a restarted instance and its next start.
 const RESTART_DELAY: Duration = Duration::from_millis(400);
@@ -158,6 +162,7 @@
     pub fails: f64,
     /// Share of requests that the target accepts and never answers. Each holds its slot until its caller's timeout.
     pub hangs: f64,
+    /// Slots in use.
     running: usize,
     queue: VecDeque<QueuedRequest>,
     /// Flows with a SYN or a request, each with the last request that was accepted.
@@ -249,8 +254,11 @@
     pub requests: Vec<Request>,
     request_by_flow: BTreeMap<FlowId, usize>,
     next_port: u32,
+    /// Mean rate of new requests per second, over all callers; arrivals are a Poisson process.
     pub per_second: f64,
+    /// Mean service time of a request at a target that is not slow.
     pub service_time: Duration,
+    /// Snapshot that an instance reads from the store when it starts.
     pub store_content: Delta,
     seed_addresses: Vec<SocketAddr>,
     /// Number of SYNs that were sent to a second target.
--- a/crates/core/tests/direct/members.rs
+++ b/crates/core/tests/direct/members.rs
@@ -30,6 +30,7 @@
 /// Period of each instance's timers.
 pub const TICK_PERIOD: Duration = Duration::from_millis(50);
 pub const DOMAINS: usize = 6;
+/// Number of seed instances: those with the lowest indices.
 const SEED_COUNT: usize = 3;
 /// Share of datagrams that are lost.
 const LOSS_RATE: f64 = 0.01;
@@ -78,6 +79,7 @@
     pub partitions: Vec<(usize, usize)>,
     /// Bytes that each instance has sent.
     pub sent_bytes: Vec<u64>,
+    /// Size in bytes of the largest frame that was sent.
     pub largest_frame_bytes: usize,
     store_revision: Revision,
     /// Instances whose calls the store does not answer.
