--- a/crates/adapters/src/admin.rs
+++ b/crates/adapters/src/admin.rs
@@ -32,7 +32,7 @@
 use hawthornshift_core::Node;
 
 /// Most bytes of a request's body; none is needed.
-const BODY_BYTES: usize = 1_024;
+const MAX_BODY_BYTES: usize = 1_024;
 
 /// Takes operators' requests.
 pub(crate) struct AdminHandler {
@@ -48,14 +48,14 @@
         let Some(token) = &self.engine.config.admin_token else { return true };
         let given = headers.get(AUTHORIZATION).and_then(|value| value.to_str().ok()).unwrap_or_default();
         let expected = format!("Bearer {token}");
-        same_text(given, &expected)
+        constant_time_eq(given, &expected)
     }
 
     fn readiness(&self) -> WebAnswer {
         if self.engine.with_node(Node::is_ready) {
-            text(StatusCode::OK, "ready\n")
+            text_answer(StatusCode::OK, "ready\n")
         } else {
-            text(StatusCode::SERVICE_UNAVAILABLE, "not ready\n")
+            text_answer(StatusCode::SERVICE_UNAVAILABLE, "not ready\n")
         }
     }
 
@@ -63,8 +63,8 @@
         let now = self.engine.now();
         let dump = self.engine.with_node(|node| node.dump(now));
         match serde_json::to_vec(&dump) {
-            Ok(body) => answer(StatusCode::OK, "application/json", body),
-            Err(error) => text(StatusCode::INTERNAL_SERVER_ERROR, &error.to_string()),
+            Ok(body) => typed_answer(StatusCode::OK, "application/json", body),
+            Err(error) => text_answer(StatusCode::INTERNAL_SERVER_ERROR, &error.to_string()),
         }
     }
 
@@ -72,67 +72,67 @@
         let now = self.engine.now();
         let dump = self.engine.with_node(|node| node.dump(now));
         let body = metrics::render(&dump, self.engine.datagrams.counts());
-        answer(StatusCode::OK, "text/plain; version=0.0.4", body.into_bytes())
+        typed_answer(StatusCode::OK, "text/plain; version=0.0.4", body.into_bytes())
     }
 
     fn drain(&self) -> WebAnswer {
         info!(self.engine.log, "drain asked for by an operator");
-        self.engine.feed(Input::Stop);
-        text(StatusCode::ACCEPTED, "draining\n")
+        self.engine.handle_input(Input::Stop);
+        text_answer(StatusCode::ACCEPTED, "draining\n")
     }
 
-    fn set_level(&self, query: &str) -> WebAnswer {
+    fn set_log_level(&self, query: &str) -> WebAnswer {
         let level = query.strip_prefix("level=").and_then(|level| level.parse::<Level>().ok());
         let Some(level) = level else {
-            return text(
+            return text_answer(
                 StatusCode::BAD_REQUEST,
                 "level must be one of trace, debug, info, warning, error, critical\n",
             );
         };
         self.engine.config.level.set(level);
-        text(StatusCode::OK, "level set\n")
+        text_answer(StatusCode::OK, "level set\n")
     }
 }
 
 impl Handler for AdminHandler {
-    const BODY_LIMIT: usize = BODY_BYTES;
+    const MAX_BODY_BYTES: usize = MAX_BODY_BYTES;
 
     async fn answer(&self, request: WebRequest) -> WebAnswer {
         let (path, query) = request.path.split_once('?').unwrap_or((&request.path, ""));
         if path.starts_with("/v1/") && !self.is_allowed(&request.headers) {
-            return text(StatusCode::UNAUTHORIZED, "the admin token is missing or wrong\n");
+            return text_answer(StatusCode::UNAUTHORIZED, "the admin token is missing or wrong\n");
         }
         match (&request.method, path) {
-            (&Method::GET, "/healthz") => text(StatusCode::OK, "ok\n"),
+            (&Method::GET, "/healthz") => text_answer(StatusCode::OK, "ok\n"),
             (&Method::GET, "/readyz") => self.readiness(),
             (&Method::GET, "/metrics") => self.metrics(),
             (&Method::GET, "/v1/dump") => self.dump(),
             (&Method::POST, "/v1/drain") => self.drain(),
-            (&Method::POST, "/v1/log-level") => self.set_level(query),
+            (&Method::POST, "/v1/log-level") => self.set_log_level(query),
             (_, "/healthz" | "/readyz" | "/metrics" | "/v1/dump" | "/v1/drain" | "/v1/log-level") => {
-                text(StatusCode::METHOD_NOT_ALLOWED, "not with this method\n")
+                text_answer(StatusCode::METHOD_NOT_ALLOWED, "not with this method\n")
             }
-            _ => text(StatusCode::NOT_FOUND, "no such page\n"),
+            _ => text_answer(StatusCode::NOT_FOUND, "no such page\n"),
         }
     }
 
-    fn unreadable(&self, status: StatusCode, reason: &str) -> WebAnswer {
-        text(status, reason)
+    fn reject_unreadable(&self, status: StatusCode, reason: &str) -> WebAnswer {
+        text_answer(status, reason)
     }
 }
 
 /// Compares in a time that does not tell how much of a guessed token was right.
-fn same_text(a: &str, b: &str) -> bool {
+fn constant_time_eq(a: &str, b: &str) -> bool {
     let differing = a.bytes().zip(b.bytes()).fold(0, |differing, (a, b)| differing | (a ^ b));
     a.len() == b.len() && differing == 0
 }
 
-fn text(status: StatusCode, body: &str) -> WebAnswer {
-    answer(status, "text/plain", body.as_bytes().to_vec())
+fn text_answer(status: StatusCode, body: &str) -> WebAnswer {
+    typed_answer(status, "text/plain", body.as_bytes().to_vec())
 }
 
-fn answer(status: StatusCode, kind: &'static str, body: Vec<u8>) -> WebAnswer {
+fn typed_answer(status: StatusCode, content_type: &'static str, body: Vec<u8>) -> WebAnswer {
     let mut headers = HeaderMap::new();
-    headers.insert(CONTENT_TYPE, HeaderValue::from_static(kind));
+    headers.insert(CONTENT_TYPE, HeaderValue::from_static(content_type));
     WebAnswer { status, headers, body: Bytes::from(body) }
 }
--- a/crates/adapters/src/datagrams.rs
+++ b/crates/adapters/src/datagrams.rs
@@ -37,20 +37,20 @@
 /// The UDP sockets of one instance.
 pub struct Datagrams {
     forward: Arc<UdpSocket>,
-    local: IpAddr,
+    local_ip: IpAddr,
     services: RwLock<HashMap<ServiceId, Arc<UdpSocket>>>,
-    channels: RwLock<HashMap<LocalPort, Arc<UdpSocket>>>,
+    local_ports: RwLock<HashMap<LocalPort, Arc<UdpSocket>>>,
     counts: SocketCounts,
 }
 
 impl Datagrams {
-    /// Binds the socket for forwarded packets; targets are sent to from `local`.
-    pub(crate) async fn bind(forward: SocketAddr, local: Option<IpAddr>) -> io::Result<Self> {
+    /// Binds the socket for forwarded packets; targets are sent to from `local_ip`.
+    pub(crate) async fn bind(forward: SocketAddr, local_ip: Option<IpAddr>) -> io::Result<Self> {
         Ok(Self {
             forward: Arc::new(UdpSocket::bind(forward).await?),
-            local: local.unwrap_or(IpAddr::V4(Ipv4Addr::UNSPECIFIED)),
+            local_ip: local_ip.unwrap_or(IpAddr::V4(Ipv4Addr::UNSPECIFIED)),
             services: RwLock::default(),
-            channels: RwLock::default(),
+            local_ports: RwLock::default(),
             counts: SocketCounts::default(),
         })
     }
@@ -75,7 +75,7 @@
         self.services.write().unwrap_or_else(PoisonError::into_inner).remove(&service);
     }
 
-    fn service(&self, service: ServiceId) -> Option<Arc<UdpSocket>> {
+    fn service_socket(&self, service: ServiceId) -> Option<Arc<UdpSocket>> {
         self.services.read().unwrap_or_else(PoisonError::into_inner).get(&service).cloned()
     }
 
@@ -92,8 +92,8 @@
         let mut buf = vec![0; wire::MAX_DATAGRAM_BYTES];
         loop {
             let Ok((len, caller)) = socket.recv_from(&mut buf).await else { continue };
-            let fate = self.feed_packet(Input::CallerPacket { service, caller });
-            self.follow(fate, &buf[..len]);
+            let action = self.handle_packet(Input::CallerPacket { service, caller });
+            self.perform_packet_action(action, &buf[..len]);
         }
     }
 
@@ -105,8 +105,8 @@
             let Ok((len, _)) = socket.recv_from(&mut buf).await else { continue };
             match wire::decode(&buf[..len]) {
                 Ok((head, payload)) => {
-                    let fate = self.feed_packet(Input::ForwardedPacket(head));
-                    self.follow(fate, payload);
+                    let action = self.handle_packet(Input::ForwardedPacket(head));
+                    self.perform_packet_action(action, payload);
                 }
                 Err(_) => {
                     self.datagrams.counts.malformed.fetch_add(1, Ordering::Relaxed);
@@ -115,26 +115,26 @@
         }
     }
 
-    async fn serve_channel(self: Arc<Self>, local_port: LocalPort, socket: Arc<UdpSocket>) {
+    async fn serve_local_port(self: Arc<Self>, local_port: LocalPort, socket: Arc<UdpSocket>) {
         let mut buf = vec![0; wire::MAX_DATAGRAM_BYTES];
         loop {
             // A target that is gone shows as an error here; its flows end by silence.
             let Ok((len, target)) = socket.recv_from(&mut buf).await else { continue };
-            let fate = self.feed_packet(Input::TargetPacket { target, local_port });
-            self.follow(fate, &buf[..len]);
+            let action = self.handle_packet(Input::TargetPacket { target, local_port });
+            self.perform_packet_action(action, &buf[..len]);
         }
     }
 
     /// Does what was decided about a packet.
-    fn follow(self: &Arc<Self>, fate: Option<PacketAction>, payload: &[u8]) {
-        match fate {
+    fn perform_packet_action(self: &Arc<Self>, action: Option<PacketAction>, payload: &[u8]) {
+        match action {
             Some(PacketAction::ToTarget { local_port, target }) => {
-                if let Some(socket) = self.local_port(local_port) {
+                if let Some(socket) = self.local_port_socket(local_port) {
                     self.datagrams.send(&socket, payload, target);
                 }
             }
             Some(PacketAction::Forward { address, head }) => {
-                let mut buf = Vec::with_capacity(payload.len() + wire::MAX_HEAD_BYTES);
+                let mut buf = Vec::with_capacity(payload.len() + wire::MAX_HEADER_BYTES);
                 if wire::encode(&head, payload, &mut buf).is_ok() {
                     self.datagrams.send(&self.datagrams.forward, &buf, address);
                 } else {
@@ -142,7 +142,7 @@
                 }
             }
             Some(PacketAction::ToCaller { service, caller }) => {
-                if let Some(socket) = self.datagrams.service(service) {
+                if let Some(socket) = self.datagrams.service_socket(service) {
                     self.datagrams.send(&socket, payload, caller);
                 }
             }
@@ -151,25 +151,25 @@
     }
 
     /// Returns the local port of a channel, opened when it is first used.
-    fn local_port(self: &Arc<Self>, local_port: LocalPort) -> Option<Arc<UdpSocket>> {
-        let channels = &self.datagrams.channels;
-        if let Some(socket) = channels.read().unwrap_or_else(PoisonError::into_inner).get(&local_port) {
+    fn local_port_socket(self: &Arc<Self>, local_port: LocalPort) -> Option<Arc<UdpSocket>> {
+        let local_ports = &self.datagrams.local_ports;
+        if let Some(socket) = local_ports.read().unwrap_or_else(PoisonError::into_inner).get(&local_port) {
             return Some(Arc::clone(socket));
         }
-        let mut channels = channels.write().unwrap_or_else(PoisonError::into_inner);
-        if let Some(socket) = channels.get(&local_port) {
+        let mut local_ports = local_ports.write().unwrap_or_else(PoisonError::into_inner);
+        if let Some(socket) = local_ports.get(&local_port) {
             return Some(Arc::clone(socket));
         }
-        let socket = self.open_channel().ok()?;
-        channels.insert(local_port, Arc::clone(&socket));
+        let socket = self.open_local_port().ok()?;
+        local_ports.insert(local_port, Arc::clone(&socket));
         let engine = Arc::clone(self);
-        let task = engine.serve_channel(local_port, Arc::clone(&socket));
+        let task = engine.serve_local_port(local_port, Arc::clone(&socket));
         self.spawn(task);
         Some(socket)
     }
 
-    fn open_channel(&self) -> io::Result<Arc<UdpSocket>> {
-        let socket = std::net::UdpSocket::bind(SocketAddr::new(self.datagrams.local, 0))?;
+    fn open_local_port(&self) -> io::Result<Arc<UdpSocket>> {
+        let socket = std::net::UdpSocket::bind(SocketAddr::new(self.datagrams.local_ip, 0))?;
         socket.set_nonblocking(true)?;
         let _context = self.runtime.enter();
         Ok(Arc::new(UdpSocket::from_std(socket)?))
--- a/crates/adapters/src/engine.rs
+++ b/crates/adapters/src/engine.rs
@@ -31,7 +31,7 @@
 use crate::payload::Answer;
 use crate::payload::Request;
 use crate::peers::PeerClients;
-use crate::streams::Order;
+use crate::streams::StreamCommand;
 use hawthornshift_core::Input;
 use hawthornshift_core::Node;
 use hawthornshift_core::Output;
@@ -47,7 +47,7 @@
 
 /// How a request ended, with the answer if there is one.
 #[derive(Debug)]
-pub struct Ending {
+pub struct RequestOutcome {
     /// What the core said.
     pub reply: Reply,
     /// The answer it named.
@@ -55,16 +55,16 @@
 }
 
 /// A request that the core has a part in.
-struct Pending {
+struct PendingRequest {
     request: Arc<Request>,
-    done: oneshot::Sender<Ending>,
+    outcome_sender: oneshot::Sender<RequestOutcome>,
     /// The task that tries it at a target or instance now.
-    attempt: Option<AbortHandle>,
+    abort_handle: Option<AbortHandle>,
 }
 
 /// Numbers handed out by one engine.
 #[derive(Debug, Default)]
-struct Counters {
+struct NextIds {
     requests: AtomicU64,
     answers: AtomicU64,
     streams: AtomicU64,
@@ -74,7 +74,7 @@
 pub struct Engine {
     pub(crate) config: Config,
     pub(crate) runtime: Handle,
-    pub(crate) stop: CancellationToken,
+    pub(crate) shutdown: CancellationToken,
     pub(crate) log: Logger,
     pub(crate) datagrams: Datagrams,
     pub(crate) peers: PeerClients,
@@ -84,10 +84,10 @@
     pub(crate) finished: CancellationToken,
     epoch: Instant,
     node: Mutex<Node>,
-    counters: Counters,
-    pending: Mutex<HashMap<RequestId, Pending>>,
+    next_ids: NextIds,
+    pending: Mutex<HashMap<RequestId, PendingRequest>>,
     answers: Mutex<HashMap<AnswerId, Arc<Answer>>>,
-    streams: RwLock<HashMap<StreamId, UnboundedSender<Order>>>,
+    streams: RwLock<HashMap<StreamId, UnboundedSender<StreamCommand>>>,
 }
 
 /// Takes a lock; a panic of another holder leaves data that every decision checks anyway.
@@ -100,7 +100,7 @@
         let log = config.logger.new(slog::o!("instance" => config.id));
         Arc::new(Self {
             runtime: Handle::current(),
-            stop: CancellationToken::new(),
+            shutdown: CancellationToken::new(),
             log,
             datagrams,
             peers: PeerClients::default(),
@@ -108,7 +108,7 @@
             finished: CancellationToken::new(),
             epoch: Instant::now(),
             node: Mutex::new(make_node(Timestamp::ZERO)),
-            counters: Counters::default(),
+            next_ids: NextIds::default(),
             pending: Mutex::default(),
             answers: Mutex::default(),
             streams: RwLock::default(),
@@ -127,47 +127,47 @@
     }
 
     /// Feeds an input and carries out what follows.
-    pub fn feed(self: &Arc<Self>, input: Input) {
-        self.feed_from(input, None);
+    pub fn handle_input(self: &Arc<Self>, input: Input) {
+        self.handle_peer_message(input, None);
     }
 
     /// Feeds an input and carries out what follows, but returns the messages that are for `sender`: they travel as
     /// the answer to its own message.
-    pub fn feed_from(self: &Arc<Self>, input: Input, sender: Option<InstanceId>) -> Vec<Envelope> {
+    pub fn handle_peer_message(self: &Arc<Self>, input: Input, sender: Option<InstanceId>) -> Vec<Envelope> {
         let mut out = Vec::new();
-        let mut back = Vec::new();
+        let mut replies = Vec::new();
         let mut node = lock(&self.node);
         // Read under the lock, so that the core never sees time run backwards.
         let now = self.now();
         node.handle(now, input, &mut out);
         for output in out {
             match output {
-                Output::ToPeer { envelope, .. } if Some(envelope.to) == sender => back.push(*envelope),
-                output => self.carry_out(output),
+                Output::ToPeer { envelope, .. } if Some(envelope.to) == sender => replies.push(*envelope),
+                output => self.perform_output(output),
             }
         }
         drop(node);
-        back
+        replies
     }
 
     /// Feeds a packet and returns what becomes of it.
-    pub fn feed_packet(self: &Arc<Self>, input: Input) -> Option<PacketAction> {
+    pub fn handle_packet(self: &Arc<Self>, input: Input) -> Option<PacketAction> {
         let mut out = Vec::with_capacity(1);
         let mut node = lock(&self.node);
         let now = self.now();
         node.handle(now, input, &mut out);
-        let mut fate = None;
+        let mut action = None;
         for output in out {
             match output {
-                Output::Packet(decided) => fate = Some(decided),
-                output => self.carry_out(output),
+                Output::Packet(decided) => action = Some(decided),
+                output => self.perform_output(output),
             }
         }
         drop(node);
-        fate
+        action
     }
 
-    fn carry_out(self: &Arc<Self>, output: Output) {
+    fn perform_output(self: &Arc<Self>, output: Output) {
         match output {
             Output::Packet(_) => {}
             Output::ToPeer { address, envelope } => self.send_to_peer(address, *envelope),
@@ -177,16 +177,16 @@
             }
             Output::Probe { target, address } => {
                 let engine = Arc::clone(self);
-                self.spawn(async move { engine.probe(target, address).await });
+                self.spawn(async move { engine.check_health(target, address).await });
             }
             Output::ForwardRequest { request, to, address, head } => {
                 let engine = Arc::clone(self);
-                self.attempt(request, |whole| async move { engine.pass(request, to, address, head, whole).await });
+                self.spawn_attempt(request, |msg| async move { engine.forward(request, to, address, head, msg).await });
             }
             Output::Execute { request, attempt, address, time_left } => {
                 let engine = Arc::clone(self);
-                self.attempt(request, |whole| async move {
-                    engine.execute(request, attempt, address, time_left, whole).await;
+                self.spawn_attempt(request, |msg| async move {
+                    engine.execute(request, attempt, address, time_left, msg).await;
                 });
             }
             Output::Cancel { request } => self.cancel(request),
@@ -194,8 +194,8 @@
             Output::ReleaseAnswer { answer } => {
                 lock(&self.answers).remove(&answer);
             }
-            Output::ConnectStream { stream, address } => self.order(stream, Order::Connect(address)),
-            Output::CloseStream { stream } => self.order(stream, Order::Close),
+            Output::ConnectStream { stream, address } => self.send_command(stream, StreamCommand::Connect(address)),
+            Output::CloseStream { stream } => self.send_command(stream, StreamCommand::Close),
             Output::CatalogChanged => self.catalog_changed.notify_one(),
             Output::Stopped => self.finished.cancel(),
             Output::Superseded => {
@@ -211,10 +211,10 @@
 
     /// Runs a task until it ends or the instance does.
     pub(crate) fn spawn(&self, task: impl Future<Output = ()> + Send + 'static) -> AbortHandle {
-        let stop = self.stop.clone();
+        let shutdown = self.shutdown.clone();
         let task = self.runtime.spawn(async move {
             tokio::select! {
-                () = stop.cancelled() => {}
+                () = shutdown.cancelled() => {}
                 () = task => {}
             }
         });
@@ -227,7 +227,7 @@
     }
 
     /// Starts the task that tries a request somewhere.
-    fn attempt<F, T>(&self, request: RequestId, task: F)
+    fn spawn_attempt<F, T>(&self, request: RequestId, task: F)
     where
         F: FnOnce(Arc<Request>) -> T,
         T: Future<Output = ()> + Send + 'static,
@@ -235,12 +235,12 @@
         let mut pending = lock(&self.pending);
         let Some(entry) = pending.get_mut(&request) else { return };
         let handle = self.spawn(task(Arc::clone(&entry.request)));
-        entry.attempt = Some(handle);
+        entry.abort_handle = Some(handle);
     }
 
     fn cancel(&self, request: RequestId) {
-        if let Some(attempt) = lock(&self.pending).get_mut(&request).and_then(|entry| entry.attempt.take()) {
-            attempt.abort();
+        if let Some(abort_handle) = lock(&self.pending).get_mut(&request).and_then(|entry| entry.abort_handle.take()) {
+            abort_handle.abort();
         }
     }
 
@@ -251,54 +251,54 @@
             Reply::Refuse { .. } => None,
         };
         // Nobody waits any more when the caller has gone.
-        let _ = entry.done.send(Ending { reply, answer });
+        let _ = entry.outcome_sender.send(RequestOutcome { reply, answer });
     }
 
     /// Takes a request in; what comes of it arrives on the returned channel.
-    pub(crate) fn admit(
+    pub(crate) fn submit_request(
         self: &Arc<Self>,
         request: Request,
         input: impl FnOnce(RequestId) -> Input,
-    ) -> (RequestId, oneshot::Receiver<Ending>) {
-        let id = self.counters.requests.fetch_add(1, Ordering::Relaxed);
-        let (done, ending) = oneshot::channel();
-        let entry = Pending { request: Arc::new(request), done, attempt: None };
+    ) -> (RequestId, oneshot::Receiver<RequestOutcome>) {
+        let id = self.next_ids.requests.fetch_add(1, Ordering::Relaxed);
+        let (outcome_sender, outcome) = oneshot::channel();
+        let entry = PendingRequest { request: Arc::new(request), outcome_sender, abort_handle: None };
         lock(&self.pending).insert(id, entry);
-        self.feed(input(id));
-        (id, ending)
+        self.handle_input(input(id));
+        (id, outcome)
     }
 
     /// Notes that nobody waits for a request any more.
-    pub(crate) fn abandon(self: &Arc<Self>, request: RequestId) {
-        self.feed(Input::CallerGone { request });
+    pub(crate) fn abandon_request(self: &Arc<Self>, request: RequestId) {
+        self.handle_input(Input::CallerGone { request });
     }
 
     /// Keeps an answer until the core says that it can be forgotten.
-    pub(crate) fn keep_answer(&self, answer: Answer) -> StoredAnswer {
-        let id = self.counters.answers.fetch_add(1, Ordering::Relaxed);
-        let size = answer.size();
+    pub(crate) fn store_answer(&self, answer: Answer) -> StoredAnswer {
+        let id = self.next_ids.answers.fetch_add(1, Ordering::Relaxed);
+        let size = answer.approximate_bytes();
         lock(&self.answers).insert(id, Arc::new(answer));
         StoredAnswer { id, size }
     }
 
     /// Registers a stream whose task takes orders from the core.
-    pub(crate) fn register_stream(&self, orders: UnboundedSender<Order>) -> StreamId {
-        let id = self.counters.streams.fetch_add(1, Ordering::Relaxed);
-        self.streams.write().unwrap_or_else(PoisonError::into_inner).insert(id, orders);
+    pub(crate) fn add_stream(&self, commands: UnboundedSender<StreamCommand>) -> StreamId {
+        let id = self.next_ids.streams.fetch_add(1, Ordering::Relaxed);
+        self.streams.write().unwrap_or_else(PoisonError::into_inner).insert(id, commands);
         id
     }
 
     /// Forgets a stream.
-    pub(crate) fn forget_stream(self: &Arc<Self>, stream: StreamId) {
+    pub(crate) fn remove_stream(self: &Arc<Self>, stream: StreamId) {
         self.streams.write().unwrap_or_else(PoisonError::into_inner).remove(&stream);
-        self.feed(Input::StreamClosed { stream });
+        self.handle_input(Input::StreamClosed { stream });
     }
 
-    fn order(&self, stream: StreamId, order: Order) {
+    fn send_command(&self, stream: StreamId, command: StreamCommand) {
         let streams = self.streams.read().unwrap_or_else(PoisonError::into_inner);
-        if let Some(orders) = streams.get(&stream) {
+        if let Some(commands) = streams.get(&stream) {
             // A stream that has just ended takes no more orders.
-            let _ = orders.send(order);
+            let _ = commands.send(command);
         }
     }
 
@@ -308,7 +308,7 @@
         interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             interval.tick().await;
-            self.feed(Input::Tick);
+            self.handle_input(Input::Tick);
         }
     }
 }
--- a/crates/adapters/src/execute.rs
+++ b/crates/adapters/src/execute.rs
@@ -35,36 +35,41 @@
         number: AttemptNumber,
         address: SocketAddr,
         time_left: Duration,
-        whole: Arc<Request>,
+        http_request: Arc<Request>,
     ) {
         let attempt = Attempt::new(request, number);
-        let input = self.try_target(attempt, address, time_left, &whole).await;
-        self.feed(input);
+        let input = self.run_attempt(attempt, address, time_left, &http_request).await;
+        self.handle_input(input);
     }
 
-    async fn try_target(
+    async fn run_attempt(
         &self,
         attempt: Attempt<Unsent>,
         address: SocketAddr,
         time_left: Duration,
-        whole: &Request,
+        http_request: &Request,
     ) -> Input {
-        let mut headers = whole.headers();
+        let mut headers = http_request.headers();
         let millis = u64::try_from(time_left.as_millis()).unwrap_or(u64::MAX);
         headers.insert(TIMEOUT_HEADER, HeaderValue::from(millis));
-        let Ok(message) = http_client::build(address, whole.method(), whole.path(), headers, whole.body().clone())
-        else {
+        let Ok(outgoing) = http_client::build(
+            address,
+            http_request.method(),
+            http_request.path(),
+            headers,
+            http_request.body().clone(),
+        ) else {
             return attempt.fail(Reason::RefusedByTarget);
         };
         let Ok(Ok(mut sender)) = timeout(CONNECT_TIMEOUT, http_client::connect(address)).await else {
             return attempt.fail(Reason::ConnectionBroken);
         };
         let attempt = attempt.send();
-        match http_client::exchange(&mut sender, message, MAX_BODY_BYTES).await {
+        match http_client::exchange(&mut sender, outgoing, MAX_BODY_BYTES).await {
             Ok(response) if refused_before_running(&response) => attempt.refused_by_target(),
             Ok(response) => {
                 let answer = Answer::new(response.status, &response.headers, response.body);
-                attempt.answered(self.keep_answer(answer))
+                attempt.answered(self.store_answer(answer))
             }
             Err(ExchangeError::Incomplete(_)) => attempt.fail(Reason::AnswerIncomplete),
             Err(_) => attempt.fail(Reason::ConnectionBroken),
--- a/crates/adapters/src/http_client.rs
+++ b/crates/adapters/src/http_client.rs
@@ -31,7 +31,7 @@
     },
     /// The connection broke; the request may have arrived.
     #[error("the connection broke: {0}")]
-    Broken(#[from] hyper::Error),
+    ConnectionBroken(#[from] hyper::Error),
     /// The request cannot be written as HTTP; nothing was sent.
     #[error("the request is malformed: {0}")]
     Malformed(#[from] http::Error),
@@ -60,9 +60,9 @@
 ///
 /// Fails when the server cannot be reached; nothing has been sent then.
 pub async fn connect(address: SocketAddr) -> Result<SendRequest<Full<Bytes>>, ExchangeError> {
-    let refused = |source| ExchangeError::Connect { address, source };
-    let stream = TcpStream::connect(address).await.map_err(refused)?;
-    stream.set_nodelay(true).map_err(refused)?;
+    let connect_error = |source| ExchangeError::Connect { address, source };
+    let stream = TcpStream::connect(address).await.map_err(connect_error)?;
+    stream.set_nodelay(true).map_err(connect_error)?;
     let (sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
     // The connection ends with its sender; an error on the way reaches whoever waits for the answer.
     tokio::spawn(async move {
@@ -122,11 +122,11 @@
     /// Fails as [`connect`] and [`exchange`] do, or when the time is over.
     pub async fn send(self) -> Result<Response, ExchangeError> {
         let timeout = self.timeout;
-        let done = tokio::time::timeout(timeout, self.send_untimed()).await;
-        done.unwrap_or(Err(ExchangeError::Timeout(timeout)))
+        let result = tokio::time::timeout(timeout, self.send_without_timeout()).await;
+        result.unwrap_or(Err(ExchangeError::Timeout(timeout)))
     }
 
-    async fn send_untimed(self) -> Result<Response, ExchangeError> {
+    async fn send_without_timeout(self) -> Result<Response, ExchangeError> {
         let request = build(self.address, self.method, &self.path, self.headers, self.body)?;
         let mut sender = connect(self.address).await?;
         exchange(&mut sender, request, self.limit).await
--- a/crates/adapters/src/instance.rs
+++ b/crates/adapters/src/instance.rs
@@ -26,7 +26,7 @@
 use hawthornshift_core::membership::Identity;
 
 /// Time that answers just given may take to leave the process.
-const FLUSH: Duration = Duration::from_millis(300);
+const FLUSH_DELAY: Duration = Duration::from_millis(300);
 
 /// An instance that cannot start.
 #[derive(Debug, Error)]
@@ -89,23 +89,23 @@
         let mut config = self.state.config;
         let control = listen("peers", config.control).await?;
         let admin = listen("operators", config.admin).await?;
-        let failed = |address| move |source| StartError::Listen { what: "forwarded packets", address, source };
-        let datagrams = Datagrams::bind(config.forward, config.listen).await.map_err(failed(config.forward))?;
-        config.forward = datagrams.forward_address().map_err(failed(config.forward))?;
-        config.control = control.local_addr().map_err(failed(config.control))?;
-        let admin_address = admin.local_addr().map_err(failed(config.admin))?;
+        let listen_error = |address| move |source| StartError::Listen { what: "forwarded packets", address, source };
+        let datagrams = Datagrams::bind(config.forward, config.listen).await.map_err(listen_error(config.forward))?;
+        config.forward = datagrams.forward_address().map_err(listen_error(config.forward))?;
+        config.control = control.local_addr().map_err(listen_error(config.control))?;
+        let admin_address = admin.local_addr().map_err(listen_error(config.admin))?;
 
         let engine = Engine::new(config.clone(), |now| make_node(now, &config), datagrams);
-        let failed = |what, address| move |source| StartError::Listen { what, address, source };
-        let peers = peers::serve(Arc::clone(&engine), control).map_err(failed("peers", config.control))?;
+        let listen_error = |what, address| move |source| StartError::Listen { what, address, source };
+        let peers = peers::serve(Arc::clone(&engine), control).map_err(listen_error("peers", config.control))?;
         let admin =
             admin.into_std().and_then(|listener| WebServer::start(listener, AdminHandler::new(Arc::clone(&engine))));
-        let admin = admin.map_err(failed("operators", config.admin))?;
+        let admin = admin.map_err(listen_error("operators", config.admin))?;
         engine.spawn(Arc::clone(&engine).serve_forwarded());
         engine.spawn(Arc::clone(&engine).tick());
-        engine.spawn(Arc::clone(&engine).greet_peers());
+        engine.spawn(Arc::clone(&engine).discover_peers());
         let closing = CancellationToken::new();
-        let listeners = tokio::spawn(Listeners::default().follow(Arc::clone(&engine), closing.clone()));
+        let listeners = tokio::spawn(Listeners::default().run(Arc::clone(&engine), closing.clone()));
         info!(engine.log, "started"; "control" => %config.control, "admin" => %admin_address);
         Ok(Instance { state: Serving { engine, admin, admin_address, peers, listeners, closing } })
     }
@@ -144,16 +144,16 @@
 
     /// Stops as planned: serves what it has to the end, then closes everything.
     pub async fn stop(self) -> Instance<Stopped> {
-        self.state.engine.feed(Input::Stop);
+        self.state.engine.handle_input(Input::Stop);
         self.finished().await;
-        tokio::time::sleep(FLUSH).await;
+        tokio::time::sleep(FLUSH_DELAY).await;
         let dump = self.dump();
         let Serving { engine, admin, peers, listeners, closing, .. } = self.state;
         closing.cancel();
         let _ = listeners.await;
         admin.stop().await;
         let _ = peers.stop();
-        engine.stop.cancel();
+        engine.shutdown.cancel();
         info!(engine.log, "stopped");
         Instance { state: Stopped { dump } }
     }
@@ -161,7 +161,7 @@
     /// Ends at once, as a crash would: nothing is finished and nobody is told.
     pub async fn kill(self) {
         let Serving { engine, admin, peers, listeners, closing, .. } = self.state;
-        engine.stop.cancel();
+        engine.shutdown.cancel();
         closing.cancel();
         let _ = peers.stop();
         let _ = listeners.await;
--- a/crates/adapters/src/listeners.rs
+++ b/crates/adapters/src/listeners.rs
@@ -21,7 +21,7 @@
 use hawthornshift_model::ServiceId;
 
 /// Time after which a listener that could not be opened is tried again.
-const RETRY: Duration = Duration::from_secs(2);
+const RETRY_PERIOD: Duration = Duration::from_secs(2);
 
 /// What serves the callers of one service.
 enum Listener {
@@ -38,14 +38,14 @@
 
 impl Listeners {
     /// Opens and closes listeners until `closing`, as the set in force changes; then closes all.
-    pub(crate) async fn follow(mut self, engine: Arc<Engine>, closing: CancellationToken) {
+    pub(crate) async fn run(mut self, engine: Arc<Engine>, closing: CancellationToken) {
         loop {
             let complete = self.reconcile(&engine).await;
             let retry = async {
                 if complete {
                     std::future::pending::<()>().await;
                 }
-                tokio::time::sleep(RETRY).await;
+                tokio::time::sleep(RETRY_PERIOD).await;
             };
             tokio::select! {
                 () = closing.cancelled() => break,
@@ -61,9 +61,9 @@
     /// Returns whether every service has its listener.
     async fn reconcile(&mut self, engine: &Arc<Engine>) -> bool {
         let catalog = engine.with_node(|node| Arc::clone(node.catalog()));
-        let gone: Vec<ServiceId> =
+        let removed: Vec<ServiceId> =
             self.open.keys().copied().filter(|service| catalog.service(*service).is_none()).collect();
-        for service in gone {
+        for service in removed {
             if let Some(listener) = self.open.remove(&service) {
                 close(engine, service, listener).await;
             }
@@ -80,7 +80,7 @@
                 }
                 Err(error) => {
                     // An occupied port must not keep the other services from being served.
-                    let address = address(engine, service);
+                    let address = listen_address(engine, service);
                     error!(engine.log, "cannot listen"; "service" => &service.name, "address" => %address, "error" => %error);
                     complete = false;
                 }
@@ -90,29 +90,29 @@
     }
 }
 
-fn address(engine: &Engine, service: &ServiceEntry) -> SocketAddr {
+fn listen_address(engine: &Engine, service: &ServiceEntry) -> SocketAddr {
     let ip = engine.config.listen.unwrap_or(service.address.ip());
     SocketAddr::new(ip, service.address.port())
 }
 
 async fn open(engine: &Arc<Engine>, service: &ServiceEntry) -> io::Result<Listener> {
-    let address = address(engine, service);
-    let cx = Arc::clone(engine);
+    let address = listen_address(engine, service);
+    let shared_engine = Arc::clone(engine);
     match service.protocol {
         Protocol::Datagram => {
             let socket = Arc::new(UdpSocket::bind(address).await?);
             engine.datagrams.add_service(service.id, Arc::clone(&socket));
-            Ok(Listener::Datagrams(engine.spawn(cx.serve_datagrams(service.id, socket))))
+            Ok(Listener::Datagrams(engine.spawn(shared_engine.serve_datagrams(service.id, socket))))
         }
         Protocol::Stream => {
             let listener = TcpListener::bind(address).await?;
-            let closing = engine.stop.child_token();
-            engine.spawn(cx.serve_streams(service.id, listener, closing.clone()));
+            let closing = engine.shutdown.child_token();
+            engine.spawn(shared_engine.serve_streams(service.id, listener, closing.clone()));
             Ok(Listener::Streams(closing))
         }
         Protocol::Http => {
             let listener = TcpListener::bind(address).await?.into_std()?;
-            Ok(Listener::Requests(WebServer::start(listener, RequestHandler::new(cx, service.id))?))
+            Ok(Listener::Requests(WebServer::start(listener, RequestHandler::new(shared_engine, service.id))?))
         }
     }
 }
--- a/crates/adapters/src/logs.rs
+++ b/crates/adapters/src/logs.rs
@@ -12,7 +12,7 @@
 use slog::Record;
 
 /// Records that may wait for a slow reader of the log before further ones are dropped and counted.
-const QUEUE: usize = 4_096;
+const MAX_QUEUED_RECORDS: usize = 4_096;
 
 /// The level below which nothing is logged; it can be changed while the process runs.
 #[derive(Clone, Debug)]
@@ -42,12 +42,12 @@
 }
 
 /// Passes on what the switch allows.
-struct Switched<D> {
+struct LevelFiltered<D> {
     inner: D,
     switch: LevelSwitch,
 }
 
-impl<D: Drain> Drain for Switched<D> {
+impl<D: Drain> Drain for LevelFiltered<D> {
     type Ok = Option<D::Ok>;
     type Err = D::Err;
 
@@ -64,8 +64,8 @@
 /// Makes a logger that writes JSON lines through a thread of its own: whoever logs never waits for the reader.
 pub fn logger_to(writer: impl io::Write + Send + 'static, switch: LevelSwitch) -> Logger {
     let json = slog_json::Json::default(writer).fuse();
-    let queue = slog_async::Async::new(json).chan_size(QUEUE).build().fuse();
-    Logger::root(Switched { inner: queue, switch }.fuse(), slog::o!())
+    let queue = slog_async::Async::new(json).chan_size(MAX_QUEUED_RECORDS).build().fuse();
+    Logger::root(LevelFiltered { inner: queue, switch }.fuse(), slog::o!())
 }
 
 /// Makes a logger that writes nothing.
--- a/crates/adapters/src/metrics.rs
+++ b/crates/adapters/src/metrics.rs
@@ -24,7 +24,7 @@
     handle.render()
 }
 
-fn number(count: usize) -> f64 {
+fn gauge_value(count: usize) -> f64 {
     f64::from(u32::try_from(count).unwrap_or(u32::MAX))
 }
 
@@ -34,7 +34,7 @@
     counter!("hawthornshift_configuration_revision").absolute(dump.configuration.revision);
     counter!("hawthornshift_configuration_clashes_total").absolute(dump.configuration.clashes);
     counter!("hawthornshift_configuration_refused_total").absolute(dump.configuration.refused);
-    gauge!("hawthornshift_instances_serving").set(number(dump.serving.len()));
+    gauge!("hawthornshift_instances_serving").set(gauge_value(dump.serving.len()));
     for breach in &dump.breaches {
         let name: &'static str = breach.invariant.into();
         counter!("hawthornshift_invariant_breaches_total", "invariant" => name).absolute(breach.count);
@@ -48,9 +48,9 @@
 
 fn record_flows(dump: &Dump) {
     let counts = &dump.flows.counts;
-    gauge!("hawthornshift_flows_held").set(number(dump.flows.held));
-    gauge!("hawthornshift_flows_elsewhere").set(number(dump.flows.elsewhere));
-    gauge!("hawthornshift_streams_open").set(number(dump.streams));
+    gauge!("hawthornshift_flows_held").set(gauge_value(dump.flows.held));
+    gauge!("hawthornshift_flows_elsewhere").set(gauge_value(dump.flows.elsewhere));
+    gauge!("hawthornshift_streams_open").set(gauge_value(dump.streams));
     counter!("hawthornshift_flows_opened_total").absolute(counts.opened);
     counter!("hawthornshift_flows_given_up_total").absolute(counts.given_up);
     counter!("hawthornshift_flows_expired_total").absolute(counts.expired);
@@ -66,11 +66,11 @@
 
 fn record_requests(dump: &Dump) {
     let counts = &dump.requests;
-    gauge!("hawthornshift_requests_under_way").set(number(dump.requests_under_way));
-    gauge!("hawthornshift_requests_running").set(number(dump.running));
-    gauge!("hawthornshift_requests_queued").set(number(dump.queued));
-    gauge!("hawthornshift_tickets_remembered").set(number(dump.tickets_remembered));
-    gauge!("hawthornshift_answer_bytes").set(number(dump.answer_bytes));
+    gauge!("hawthornshift_requests_under_way").set(gauge_value(dump.requests_under_way));
+    gauge!("hawthornshift_requests_running").set(gauge_value(dump.running));
+    gauge!("hawthornshift_requests_queued").set(gauge_value(dump.queued));
+    gauge!("hawthornshift_tickets_remembered").set(gauge_value(dump.tickets_remembered));
+    gauge!("hawthornshift_answer_bytes").set(gauge_value(dump.answer_bytes));
     counter!("hawthornshift_requests_arrived_total").absolute(counts.arrived);
     counter!("hawthornshift_requests_passed_in_total").absolute(counts.passed_in);
     counter!("hawthornshift_requests_ended_total", "verdict" => "answered").absolute(counts.answered);
--- a/crates/adapters/src/payload.rs
+++ b/crates/adapters/src/payload.rs
@@ -28,7 +28,7 @@
 pub const TIMEOUT_HEADER: &str = "hawthornshift-timeout-ms";
 
 /// Headers that concern one connection and are not passed on.
-const HOP_HEADERS: [&str; 9] = [
+const HOP_BY_HOP_HEADERS: [&str; 9] = [
     "connection",
     "content-length",
     "host",
@@ -64,7 +64,7 @@
     /// Makes a request from its parts, without the headers of the connection it came on.
     #[must_use]
     pub fn new(method: &Method, path: &str, headers: &HeaderMap, body: Bytes) -> Self {
-        Self { method: method.to_string(), path: path.to_owned(), headers: keep_headers(headers), body }
+        Self { method: method.to_string(), path: path.to_owned(), headers: end_to_end_headers(headers), body }
     }
 
     /// Tells whether running the request twice does no harm, by its method's definition in HTTP.
@@ -88,7 +88,7 @@
     /// Returns the headers.
     #[must_use]
     pub fn headers(&self) -> HeaderMap {
-        header_map(&self.headers)
+        to_header_map(&self.headers)
     }
 
     /// Returns the body.
@@ -112,7 +112,7 @@
     /// Makes an answer from its parts, without the headers of the connection it came on.
     #[must_use]
     pub fn new(status: StatusCode, headers: &HeaderMap, body: Bytes) -> Self {
-        Self { status: status.as_u16(), headers: keep_headers(headers), body }
+        Self { status: status.as_u16(), headers: end_to_end_headers(headers), body }
     }
 
     /// Returns the status.
@@ -124,7 +124,7 @@
     /// Returns the headers.
     #[must_use]
     pub fn headers(&self) -> HeaderMap {
-        header_map(&self.headers)
+        to_header_map(&self.headers)
     }
 
     /// Returns the body.
@@ -135,19 +135,19 @@
 
     /// Returns about how many bytes it takes to keep.
     #[must_use]
-    pub fn size(&self) -> usize {
+    pub fn approximate_bytes(&self) -> usize {
         let headers: usize = self.headers.iter().map(|header| header.name.len() + header.value.len()).sum();
         self.body.len() + headers + size_of::<Self>()
     }
 }
 
-fn keep_headers(headers: &HeaderMap) -> Vec<Header> {
-    let kept = headers.iter().filter(|(name, _)| !HOP_HEADERS.contains(&name.as_str()));
+fn end_to_end_headers(headers: &HeaderMap) -> Vec<Header> {
+    let kept = headers.iter().filter(|(name, _)| !HOP_BY_HOP_HEADERS.contains(&name.as_str()));
     kept.map(|(name, value)| Header { name: name.as_str().to_owned(), value: Bytes::copy_from_slice(value.as_bytes()) })
         .collect()
 }
 
-fn header_map(headers: &[Header]) -> HeaderMap {
+fn to_header_map(headers: &[Header]) -> HeaderMap {
     let parse = |header: &Header| {
         let name = HeaderName::from_bytes(header.name.as_bytes()).ok()?;
         Some((name, HeaderValue::from_bytes(&header.value).ok()?))
--- a/crates/adapters/src/peers.rs
+++ b/crates/adapters/src/peers.rs
@@ -1,7 +1,7 @@
 //! Messages and passed requests between instances, over JSON-RPC.
 //!
 //! A message is a call of `exchange`; what the receiver has to say to the sender at once comes back as its result. A
-//! passed request is a call of `pass`, which lasts until the request has ended.
+//! passed request is a call of `forward_request`, which lasts until the request has ended.
 
 use std::collections::HashMap;
 use std::error::Error as StdError;
@@ -42,9 +42,9 @@
 /// Longest time a message may take; it is shorter than a period of heartbeats needs to be noticed.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Longest time a passed request may take; its own deadline ends it long before.
-const PASS_TIMEOUT: Duration = Duration::from_hours(24);
+const FORWARD_TIMEOUT: Duration = Duration::from_hours(24);
 /// Time between two tries to reach the peers named in the settings.
-const GREETING_PERIOD: Duration = Duration::from_secs(1);
+const DISCOVERY_RETRY_PERIOD: Duration = Duration::from_secs(1);
 /// Most bytes of one call: a body in base64 with its headers.
 const MAX_CALL_BYTES: u32 = 4 << 20;
 /// Most connections of peers at once.
@@ -53,7 +53,7 @@
 /// A request passed to another instance.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct PassCall {
+pub struct ForwardRequestCall {
     from: InstanceId,
     to: InstanceId,
     head: ForwardedRequestHeader,
@@ -63,15 +63,15 @@
 /// How a passed request ended.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct PassResult {
-    outcome: PassOutcome,
+pub struct ForwardRequestResult {
+    outcome: ForwardRequestOutcome,
     free: Option<u32>,
 }
 
 /// With an answer or without.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
-pub enum PassOutcome {
+pub enum ForwardRequestOutcome {
     /// The target's answer.
     Answered(Answer),
     /// Why there is none.
@@ -91,7 +91,7 @@
 
     /// Passes a request; returns when it has ended.
     #[method(name = "pass")]
-    async fn pass(&self, call: PassCall) -> RpcResult<PassResult>;
+    async fn forward_request(&self, call: ForwardRequestCall) -> RpcResult<ForwardRequestResult>;
 }
 
 struct PeerService {
@@ -106,27 +106,32 @@
 
     async fn exchange(&self, envelope: Envelope) -> RpcResult<Vec<Envelope>> {
         let sender = envelope.sender.id;
-        Ok(self.engine.feed_from(Input::PeerMessage(Box::new(envelope)), Some(sender)))
+        Ok(self.engine.handle_peer_message(Input::PeerMessage(Box::new(envelope)), Some(sender)))
     }
 
-    async fn pass(&self, call: PassCall) -> RpcResult<PassResult> {
-        let refused =
-            |verdict, reason| PassResult { outcome: PassOutcome::Refused(Refusal { verdict, reason }), free: None };
+    async fn forward_request(&self, call: ForwardRequestCall) -> RpcResult<ForwardRequestResult> {
+        let refused = |verdict, reason| ForwardRequestResult {
+            outcome: ForwardRequestOutcome::Refused(Refusal { verdict, reason }),
+            free: None,
+        };
         if call.to != self.engine.config.id {
             // Another instance lives here now. It has run nothing of this request.
             return Ok(refused(Verdict::NotRun, Reason::ConnectionBroken));
         }
-        let PassCall { from, head, request, .. } = call;
-        let (_, ending) = self.engine.admit(request, |request| Input::ForwardedRequestArrived { request, from, head });
-        let Ok(ending) = ending.await else {
+        let ForwardRequestCall { from, head, request, .. } = call;
+        let (_, outcome) =
+            self.engine.submit_request(request, |request| Input::ForwardedRequestArrived { request, from, head });
+        let Ok(outcome) = outcome.await else {
             return Ok(refused(Verdict::MayHaveRun, Reason::Stopping));
         };
-        Ok(match (ending.reply, ending.answer) {
+        Ok(match (outcome.reply, outcome.answer) {
             (Reply::Answer { free, .. }, Some(answer)) => {
-                PassResult { outcome: PassOutcome::Answered(answer.as_ref().clone()), free }
+                ForwardRequestResult { outcome: ForwardRequestOutcome::Answered(answer.as_ref().clone()), free }
             }
             (Reply::Answer { .. }, None) => refused(Verdict::MayHaveRun, Reason::AnswerGone),
-            (Reply::Refuse { refusal, free, .. }, _) => PassResult { outcome: PassOutcome::Refused(refusal), free },
+            (Reply::Refuse { refusal, free, .. }, _) => {
+                ForwardRequestResult { outcome: ForwardRequestOutcome::Refused(refusal), free }
+            }
         })
     }
 }
@@ -172,74 +177,74 @@
     /// Sends a message and feeds what comes back.
     pub(crate) async fn exchange(self: Arc<Self>, address: SocketAddr, envelope: Envelope) {
         let to = envelope.to;
-        let answers = match self.peers.get(address, EXCHANGE_TIMEOUT) {
+        let replies = match self.peers.get(address, EXCHANGE_TIMEOUT) {
             Ok(client) => PeerClient::exchange(&client, envelope).await,
             Err(error) => Err(error),
         };
-        match answers {
-            Ok(answers) => {
-                for answer in answers {
-                    self.feed(Input::PeerMessage(Box::new(answer)));
+        match replies {
+            Ok(replies) => {
+                for answer in replies {
+                    self.handle_input(Input::PeerMessage(Box::new(answer)));
                 }
             }
-            Err(_) => self.feed(Input::PeerUnreachable { to }),
+            Err(_) => self.handle_input(Input::PeerUnreachable { to }),
         }
     }
 
     /// Asks the peers named in the settings who they are, until each has said so.
     ///
     /// It is how an instance finds the others while the platform cannot be reached.
-    pub(crate) async fn greet_peers(self: Arc<Self>) {
+    pub(crate) async fn discover_peers(self: Arc<Self>) {
         let mut unknown = self.config.peers.clone();
         unknown.retain(|address| *address != self.config.control);
         while !unknown.is_empty() {
-            let mut silent = Vec::new();
+            let mut unanswered = Vec::new();
             for address in unknown {
-                match self.introduction(address).await {
-                    Ok(update) => self.feed(Input::PeerIntroduced(Box::new(update))),
-                    Err(_) => silent.push(address),
+                match self.fetch_identity(address).await {
+                    Ok(update) => self.handle_input(Input::PeerIntroduced(Box::new(update))),
+                    Err(_) => unanswered.push(address),
                 }
             }
-            unknown = silent;
-            tokio::time::sleep(GREETING_PERIOD).await;
+            unknown = unanswered;
+            tokio::time::sleep(DISCOVERY_RETRY_PERIOD).await;
         }
     }
 
-    async fn introduction(&self, address: SocketAddr) -> Result<MemberUpdate, ClientError> {
+    async fn fetch_identity(&self, address: SocketAddr) -> Result<MemberUpdate, ClientError> {
         let client = self.peers.get(address, EXCHANGE_TIMEOUT)?;
         PeerClient::introduce(&client).await
     }
 
     /// Passes a request and feeds how it ended.
-    pub(crate) async fn pass(
+    pub(crate) async fn forward(
         self: Arc<Self>,
         request: RequestId,
         to: InstanceId,
         address: SocketAddr,
         head: ForwardedRequestHeader,
-        whole: Arc<Request>,
+        http_request: Arc<Request>,
     ) {
-        let call = PassCall { from: self.config.id, to, head, request: whole.as_ref().clone() };
-        let result = match self.peers.get(address, PASS_TIMEOUT) {
-            Ok(client) => PeerClient::pass(&client, call).await,
+        let call = ForwardRequestCall { from: self.config.id, to, head, request: http_request.as_ref().clone() };
+        let result = match self.peers.get(address, FORWARD_TIMEOUT) {
+            Ok(client) => PeerClient::forward_request(&client, call).await,
             Err(error) => Err(error),
         };
         let input = match result {
-            Ok(PassResult { outcome, free }) => {
+            Ok(ForwardRequestResult { outcome, free }) => {
                 let result = match outcome {
-                    PassOutcome::Answered(answer) => Ok(self.keep_answer(answer)),
-                    PassOutcome::Refused(refusal) => Err(refusal),
+                    ForwardRequestOutcome::Answered(answer) => Ok(self.store_answer(answer)),
+                    ForwardRequestOutcome::Refused(refusal) => Err(refusal),
                 };
                 Input::ForwardedRequestEnded { request, result, free }
             }
-            Err(error) => Input::ForwardedRequestFailed { request, verdict: verdict(&error) },
+            Err(error) => Input::ForwardedRequestFailed { request, verdict: verdict_of_call_error(&error) },
         };
-        self.feed(input);
+        self.handle_input(input);
     }
 }
 
 /// Tells from a failed call whether the other instance may have got it.
-fn verdict(error: &ClientError) -> Verdict {
+fn verdict_of_call_error(error: &ClientError) -> Verdict {
     let mut source: Option<&(dyn StdError + 'static)> = match error {
         ClientError::Transport(error) => Some(error.as_ref()),
         _ => None,
--- a/crates/adapters/src/platform.rs
+++ b/crates/adapters/src/platform.rs
@@ -23,7 +23,7 @@
 use hawthornshift_model::check::MAX_SET_BYTES;
 
 /// Time that an answer may take beyond the wait asked for.
-const PATIENCE: Duration = Duration::from_secs(2);
+const RESPONSE_GRACE: Duration = Duration::from_secs(2);
 
 /// A read that brought nothing usable.
 #[derive(Debug, Error)]
@@ -41,23 +41,23 @@
 impl Engine {
     /// Reads the platform and feeds what it said.
     pub(crate) async fn read_platform(self: Arc<Self>, read: PlatformRead) {
-        match self.try_platform(read).await {
-            Ok(input) => self.feed(input),
+        match self.fetch(read).await {
+            Ok(input) => self.handle_input(input),
             Err(error) => {
                 let resource: &str = read.resource.into();
                 warn!(self.log, "platform read failed"; "resource" => resource, "error" => error.to_string());
-                self.feed(Input::PlatformFailed(read.resource));
+                self.handle_input(Input::PlatformFailed(read.resource));
             }
         }
     }
 
-    async fn try_platform(&self, read: PlatformRead) -> Result<Input, ReadError> {
+    async fn fetch(&self, read: PlatformRead) -> Result<Input, ReadError> {
         let resource: &str = read.resource.into();
         let path = format!("/v1/{resource}?after={}&wait_ms={}", read.after, read.wait.as_millis());
-        let call = Call::get(self.config.platform, path, read.wait + PATIENCE, MAX_SET_BYTES);
+        let call = Call::get(self.config.platform, path, read.wait + RESPONSE_GRACE, MAX_SET_BYTES);
         let response = call.send().await?;
         match response.status {
-            StatusCode::OK => parse(read.resource, &response),
+            StatusCode::OK => parse_response(read.resource, &response),
             StatusCode::NOT_MODIFIED => Ok(match read.resource {
                 Resource::Set => Input::SetUnchanged,
                 Resource::Instances => Input::InstancesUnchanged,
@@ -67,7 +67,7 @@
     }
 }
 
-fn parse(resource: Resource, response: &Response) -> Result<Input, ReadError> {
+fn parse_response(resource: Resource, response: &Response) -> Result<Input, ReadError> {
     Ok(match resource {
         Resource::Set => Input::SetRead(Arc::new(CheckedSet::from_json(&response.body)?)),
         Resource::Instances => Input::InstancesRead(serde_json::from_slice(&response.body)?),
--- a/crates/adapters/src/probe.rs
+++ b/crates/adapters/src/probe.rs
@@ -15,13 +15,13 @@
 use hawthornshift_model::TargetId;
 
 /// Longest time a health check may take.
-const TIMEOUT: Duration = Duration::from_millis(500);
+const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(500);
 /// Most bytes of its answer.
-const LIMIT: usize = 4_096;
+const MAX_ANSWER_BYTES: usize = 4_096;
 
 /// A target's answer; fields besides its state are its own.
 #[derive(Debug, Deserialize)]
-struct Health {
+struct HealthAnswer {
     state: HealthReport,
     #[serde(default)]
     running: Option<u32>,
@@ -29,11 +29,11 @@
 
 impl Engine {
     /// Checks a target's health and feeds what it said.
-    pub(crate) async fn probe(self: Arc<Self>, target: TargetId, address: SocketAddr) {
-        let answer = Call::get(address, "/health", TIMEOUT, LIMIT).send().await;
+    pub(crate) async fn check_health(self: Arc<Self>, target: TargetId, address: SocketAddr) {
+        let answer = Call::get(address, "/health", HEALTH_CHECK_TIMEOUT, MAX_ANSWER_BYTES).send().await;
         let report = answer.ok().filter(|answer| answer.status.is_success());
-        let health = report.and_then(|answer| serde_json::from_slice::<Health>(&answer.body).ok());
+        let health = report.and_then(|answer| serde_json::from_slice::<HealthAnswer>(&answer.body).ok());
         let load = health.as_ref().and_then(|health| health.running);
-        self.feed(Input::Probed { target, report: health.map(|health| health.state), load });
+        self.handle_input(Input::Probed { target, report: health.map(|health| health.state), load });
     }
 }
--- a/crates/adapters/src/requests.rs
+++ b/crates/adapters/src/requests.rs
@@ -11,8 +11,8 @@
 use http::header::RETRY_AFTER;
 use serde::Serialize;
 
-use crate::engine::Ending;
 use crate::engine::Engine;
+use crate::engine::RequestOutcome;
 use crate::payload::MAX_BODY_BYTES;
 use crate::payload::NEXT_TICKET_HEADER;
 use crate::payload::REASON_HEADER;
@@ -34,7 +34,7 @@
 /// The body of an answer that this system gives itself.
 #[derive(Debug, Serialize)]
 #[serde(deny_unknown_fields)]
-struct Failure<'a> {
+struct FailureBody<'a> {
     verdict: Verdict,
     reason: &'a str,
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -63,31 +63,36 @@
 impl Drop for CallerGuard {
     fn drop(&mut self) {
         if !self.answered {
-            self.engine.abandon(self.request);
+            self.engine.abandon_request(self.request);
         }
     }
 }
 
 impl Handler for RequestHandler {
-    const BODY_LIMIT: usize = MAX_BODY_BYTES;
+    const MAX_BODY_BYTES: usize = MAX_BODY_BYTES;
 
     async fn answer(&self, request: WebRequest) -> WebAnswer {
-        let timeout = match header_millis(&request.headers) {
+        let timeout = match parse_timeout_header(&request.headers) {
             Ok(timeout) => timeout,
-            Err(reason) => return self.unreadable(StatusCode::BAD_REQUEST, reason),
+            Err(reason) => return self.reject_unreadable(StatusCode::BAD_REQUEST, reason),
         };
         let ticket = request.headers.get(TICKET_HEADER).map(|value| value.to_str().unwrap_or_default().to_owned());
-        let whole = Request::new(&request.method, &request.path, &request.headers, request.body);
-        let (service, idempotent) = (self.service, whole.is_idempotent());
-        let (request, ending) =
-            self.engine.admit(whole, |request| Input::RequestArrived { request, service, idempotent, ticket, timeout });
+        let http_request = Request::new(&request.method, &request.path, &request.headers, request.body);
+        let (service, idempotent) = (self.service, http_request.is_idempotent());
+        let (request, outcome) = self.engine.submit_request(http_request, |request| Input::RequestArrived {
+            request,
+            service,
+            idempotent,
+            ticket,
+            timeout,
+        });
         let mut guard = CallerGuard { engine: Arc::clone(&self.engine), request, answered: false };
-        let ending = ending.await;
+        let outcome = outcome.await;
         guard.answered = true;
-        let mut answer = match ending {
-            Ok(ending) => to_answer(&ending),
+        let mut answer = match outcome {
+            Ok(outcome) => outcome_answer(&outcome),
             // The engine ended without an answer, which a planned stop never does.
-            Err(_) => failure(Refusal { verdict: Verdict::MayHaveRun, reason: Reason::Stopping }, None, None),
+            Err(_) => refusal_answer(Refusal { verdict: Verdict::MayHaveRun, reason: Reason::Stopping }, None, None),
         };
         if !self.engine.with_node(hawthornshift_core::Node::is_ready) {
             // The caller's next connection should go to an instance that stays.
@@ -96,38 +101,40 @@
         answer
     }
 
-    fn unreadable(&self, status: StatusCode, reason: &str) -> WebAnswer {
-        failure_with(status, Verdict::NotRun, reason, None, None)
+    fn reject_unreadable(&self, status: StatusCode, reason: &str) -> WebAnswer {
+        failure_answer(status, Verdict::NotRun, reason, None, None)
     }
 }
 
-fn header_millis(headers: &HeaderMap) -> Result<Option<Duration>, &'static str> {
+fn parse_timeout_header(headers: &HeaderMap) -> Result<Option<Duration>, &'static str> {
     let Some(value) = headers.get(TIMEOUT_HEADER) else { return Ok(None) };
     let millis = value.to_str().ok().and_then(|text| text.parse().ok());
     millis.map(|millis| Some(Duration::from_millis(millis))).ok_or("the timeout is not a number of milliseconds")
 }
 
-fn to_answer(ending: &Ending) -> WebAnswer {
-    match (&ending.reply, &ending.answer) {
+fn outcome_answer(outcome: &RequestOutcome) -> WebAnswer {
+    match (&outcome.reply, &outcome.answer) {
         (Reply::Answer { ticket, .. }, Some(answer)) => {
             let mut headers = answer.headers();
-            put(&mut headers, VERDICT_HEADER, Some(Verdict::Answered.into()));
-            put(&mut headers, NEXT_TICKET_HEADER, ticket.as_deref());
+            insert_header(&mut headers, VERDICT_HEADER, Some(Verdict::Answered.into()));
+            insert_header(&mut headers, NEXT_TICKET_HEADER, ticket.as_deref());
             WebAnswer { status: answer.status(), headers, body: answer.body().clone() }
         }
         (Reply::Answer { .. }, None) => {
-            failure(Refusal { verdict: Verdict::MayHaveRun, reason: Reason::AnswerGone }, None, None)
+            refusal_answer(Refusal { verdict: Verdict::MayHaveRun, reason: Reason::AnswerGone }, None, None)
+        }
+        (Reply::Refuse { refusal, ticket, retry_after, .. }, _) => {
+            refusal_answer(*refusal, ticket.as_deref(), *retry_after)
         }
-        (Reply::Refuse { refusal, ticket, retry_after, .. }, _) => failure(*refusal, ticket.as_deref(), *retry_after),
     }
 }
 
-fn failure(refusal: Refusal, ticket: Option<&str>, retry_after: Option<Duration>) -> WebAnswer {
+fn refusal_answer(refusal: Refusal, ticket: Option<&str>, retry_after: Option<Duration>) -> WebAnswer {
     let Refusal { verdict, reason } = refusal;
-    failure_with(status(refusal), verdict, reason.into(), ticket, retry_after)
+    failure_answer(status_of_refusal(refusal), verdict, reason.into(), ticket, retry_after)
 }
 
-fn failure_with(
+fn failure_answer(
     status: StatusCode,
     verdict: Verdict,
     reason: &str,
@@ -136,24 +143,24 @@
 ) -> WebAnswer {
     let mut headers = HeaderMap::new();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-    put(&mut headers, VERDICT_HEADER, Some(verdict.into()));
-    put(&mut headers, REASON_HEADER, Some(reason));
-    put(&mut headers, NEXT_TICKET_HEADER, ticket);
+    insert_header(&mut headers, VERDICT_HEADER, Some(verdict.into()));
+    insert_header(&mut headers, REASON_HEADER, Some(reason));
+    insert_header(&mut headers, NEXT_TICKET_HEADER, ticket);
     if let Some(retry_after) = retry_after {
         headers.insert(RETRY_AFTER, HeaderValue::from(retry_after.as_secs().max(1)));
     }
-    let body = serde_json::to_vec(&Failure { verdict, reason, ticket }).unwrap_or_default();
+    let body = serde_json::to_vec(&FailureBody { verdict, reason, ticket }).unwrap_or_default();
     WebAnswer { status, headers, body: body.into() }
 }
 
-fn put(headers: &mut HeaderMap, name: &'static str, value: Option<&str>) {
+fn insert_header(headers: &mut HeaderMap, name: &'static str, value: Option<&str>) {
     if let Some(value) = value.and_then(|value| HeaderValue::from_str(value).ok()) {
         headers.insert(name, value);
     }
 }
 
 /// Chooses the status that HTTP has for a refusal.
-fn status(refusal: Refusal) -> StatusCode {
+fn status_of_refusal(refusal: Refusal) -> StatusCode {
     match refusal.reason {
         Reason::TicketRequired => StatusCode::PRECONDITION_REQUIRED,
         Reason::TicketInvalid => StatusCode::BAD_REQUEST,
--- a/crates/adapters/src/streams.rs
+++ b/crates/adapters/src/streams.rs
@@ -18,7 +18,7 @@
 
 /// What the core orders a stream to do.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Order {
+pub enum StreamCommand {
     /// Connect to a target.
     Connect(SocketAddr),
     /// End.
@@ -45,25 +45,25 @@
     }
 
     async fn relay(self: Arc<Self>, service: ServiceId, mut caller_side: TcpStream, caller: SocketAddr) {
-        let (orders_tx, mut orders) = mpsc::unbounded_channel();
-        let stream = self.register_stream(orders_tx);
-        self.feed(Input::StreamOpened { stream, service, caller });
+        let (command_sender, mut commands) = mpsc::unbounded_channel();
+        let stream = self.add_stream(command_sender);
+        self.handle_input(Input::StreamOpened { stream, service, caller });
         let target_side = loop {
-            match orders.recv().await {
-                Some(Order::Connect(address)) => match connect(address).await {
+            match commands.recv().await {
+                Some(StreamCommand::Connect(address)) => match connect(address).await {
                     Ok(target_side) => break Some(target_side),
-                    Err(_) => self.feed(Input::StreamRefused { stream }),
+                    Err(_) => self.handle_input(Input::StreamRefused { stream }),
                 },
-                Some(Order::Close) | None => break None,
+                Some(StreamCommand::Close) | None => break None,
             }
         };
         if let Some(mut target_side) = target_side {
             tokio::select! {
                 _ = tokio::io::copy_bidirectional(&mut caller_side, &mut target_side) => {}
-                () = closed(&mut orders) => {}
+                () = close_ordered(&mut commands) => {}
             }
         }
-        self.forget_stream(stream);
+        self.remove_stream(stream);
     }
 }
 
@@ -74,9 +74,9 @@
 }
 
 /// Waits until the core orders the stream to end.
-async fn closed(orders: &mut UnboundedReceiver<Order>) {
-    while let Some(order) = orders.recv().await {
-        if order == Order::Close {
+async fn close_ordered(commands: &mut UnboundedReceiver<StreamCommand>) {
+    while let Some(command) = commands.recv().await {
+        if command == StreamCommand::Close {
             return;
         }
     }
--- a/crates/adapters/src/web.rs
+++ b/crates/adapters/src/web.rs
@@ -21,15 +21,15 @@
 use xitca_web::service::fn_service;
 
 /// Time in which a caller must have sent the head of its request.
-const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
+const REQUEST_HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 /// Time in which a caller must have sent the body of its request.
-const BODY_TIMEOUT: Duration = Duration::from_secs(30);
+const REQUEST_BODY_TIMEOUT: Duration = Duration::from_secs(30);
 /// Time for which an idle connection is kept.
-const KEEP_ALIVE: Duration = Duration::from_mins(1);
+const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_mins(1);
 /// Most bytes of a request's head.
-const HEAD_BYTES: usize = 64 << 10;
+const MAX_HEAD_BYTES: usize = 64 << 10;
 /// Most headers of a request.
-const HEADERS: usize = 100;
+const MAX_HEADERS: usize = 100;
 
 /// A request, whole.
 #[derive(Clone, Debug)]
@@ -58,20 +58,20 @@
 /// What answers the requests of one server.
 pub trait Handler: Send + Sync + 'static {
     /// Most bytes of a request's body.
-    const BODY_LIMIT: usize;
+    const MAX_BODY_BYTES: usize;
 
     /// Answers a request.
     fn answer(&self, request: WebRequest) -> impl Future<Output = WebAnswer>;
 
     /// Answers a request that could not be read.
-    fn unreadable(&self, status: StatusCode, reason: &str) -> WebAnswer;
+    fn reject_unreadable(&self, status: StatusCode, reason: &str) -> WebAnswer;
 }
 
 /// A running server.
 pub struct WebServer {
     /// Ends the server; the argument says whether connections are waited for.
     stop: Box<dyn Fn(bool) + Send + Sync>,
-    done: JoinHandle<()>,
+    server_task: JoinHandle<()>,
 }
 
 impl WebServer {
@@ -89,23 +89,23 @@
             .serve()
             .disable_signal()
             .worker_threads(1)
-            .keep_alive_timeout(KEEP_ALIVE)
-            .request_head_timeout(HEAD_TIMEOUT)
-            .max_read_buf_size::<HEAD_BYTES>()
-            .max_request_headers::<HEADERS>()
+            .keep_alive_timeout(KEEP_ALIVE_TIMEOUT)
+            .request_head_timeout(REQUEST_HEAD_TIMEOUT)
+            .max_read_buf_size::<MAX_HEAD_BYTES>()
+            .max_request_headers::<MAX_HEADERS>()
             .listen(listener)?
             .run();
         let handle = server.handle()?;
-        let done = tokio::task::spawn_blocking(move || {
+        let server_task = tokio::task::spawn_blocking(move || {
             let _ = server.wait();
         });
-        Ok(Self { stop: Box::new(move |graceful| handle.stop(graceful)), done })
+        Ok(Self { stop: Box::new(move |graceful| handle.stop(graceful)), server_task })
     }
 
     /// Ends the server; answers that are being written may be cut off, so it is stopped only when none is owed.
     pub async fn stop(self) {
         (self.stop)(false);
-        let _ = self.done.await;
+        let _ = self.server_task.await;
     }
 }
 
@@ -113,14 +113,16 @@
     let handler = Arc::clone(cx.state());
     let (head, extension) = cx.take_request().into_parts();
     let (_, body) = extension.replace_body(());
-    let answer = match tokio::time::timeout(BODY_TIMEOUT, collect(body, H::BODY_LIMIT)).await {
+    let answer = match tokio::time::timeout(REQUEST_BODY_TIMEOUT, read_body(body, H::MAX_BODY_BYTES)).await {
         Ok(Ok(body)) => {
             let path = head.uri.path_and_query().map_or_else(|| "/".to_owned(), ToString::to_string);
             handler.answer(WebRequest { method: head.method, path, headers: head.headers, body }).await
         }
-        Ok(Err(CollectError::TooLarge)) => handler.unreadable(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large"),
-        Ok(Err(CollectError::Broken)) => handler.unreadable(StatusCode::BAD_REQUEST, "the body is malformed"),
-        Err(_) => handler.unreadable(StatusCode::REQUEST_TIMEOUT, "the body came too slowly"),
+        Ok(Err(ReadBodyError::TooLarge)) => {
+            handler.reject_unreadable(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large")
+        }
+        Ok(Err(ReadBodyError::Broken)) => handler.reject_unreadable(StatusCode::BAD_REQUEST, "the body is malformed"),
+        Err(_) => handler.reject_unreadable(StatusCode::REQUEST_TIMEOUT, "the body came too slowly"),
     };
     let mut response = WebResponse::new(ResponseBody::bytes(answer.body));
     *response.status_mut() = answer.status;
@@ -128,18 +130,18 @@
     Ok(response)
 }
 
-enum CollectError {
+enum ReadBodyError {
     TooLarge,
     Broken,
 }
 
-async fn collect(body: RequestBody, limit: usize) -> Result<Bytes, CollectError> {
+async fn read_body(body: RequestBody, limit: usize) -> Result<Bytes, ReadBodyError> {
     let mut body = std::pin::pin!(body);
     let mut buf = BytesMut::new();
     while let Some(chunk) = body.as_mut().data().await {
-        let chunk = chunk.map_err(|_| CollectError::Broken)?;
+        let chunk = chunk.map_err(|_| ReadBodyError::Broken)?;
         if buf.len() + chunk.len() > limit {
-            return Err(CollectError::TooLarge);
+            return Err(ReadBodyError::TooLarge);
         }
         buf.extend_from_slice(&chunk);
     }
