--- a/crates/adapters/src/admin.rs
+++ b/crates/adapters/src/admin.rs
@@ -1,15 +1,15 @@
-//! The admin service. It reads and acts on this process alone.
+//! The admin service: an HTTP API that reads and controls this process only.
 //!
-//! | request | answer |
+//! | request | effect |
 //! | --- | --- |
-//! | `GET /healthz` | 200 while the process works |
-//! | `GET /readyz` | 200 while the fabric should send new work here, else 503 |
-//! | `GET /metrics` | metrics as text |
-//! | `GET /v1/dump` | the state as JSON |
-//! | `POST /v1/drain` | begins a planned stop |
-//! | `POST /v1/log-level?level=debug` | changes the log level |
+//! | `GET /healthz` | 200 while the process runs |
+//! | `GET /readyz` | 200 while new traffic should be routed to this instance, else 503 |
+//! | `GET /metrics` | metrics in the Prometheus text format |
+//! | `GET /v1/dump` | the state in JSON |
+//! | `POST /v1/drain` | starts a graceful stop |
+//! | `POST /v1/log-level?level=debug` | sets the log level |
 //!
-//! What is under `/v1` needs the token when one is set.
+//! Paths under `/v1/` require the admin token as a bearer token, if one is configured.
 
 use std::sync::Arc;
 
@@ -31,10 +31,10 @@
 use hawthornshift_core::Input;
 use hawthornshift_core::Node;
 
-/// Most bytes of a request's body; none is needed.
+/// Maximum size of a request's body, in bytes; no request needs a body.
 const MAX_BODY_BYTES: usize = 1_024;
 
-/// Takes operators' requests.
+/// Handles the requests of operators.
 pub(crate) struct AdminHandler {
     engine: Arc<Engine>,
 }
@@ -76,7 +76,7 @@
     }
 
     fn drain(&self) -> WebAnswer {
-        info!(self.engine.log, "drain asked for by an operator");
+        info!(self.engine.log, "drain requested through the admin service");
         self.engine.handle_input(Input::Stop);
         text_answer(StatusCode::ACCEPTED, "draining\n")
     }
@@ -121,7 +121,8 @@
     }
 }
 
-/// Compares in a time that does not tell how much of a guessed token was right.
+/// Returns whether two texts are equal, in a time that does not depend on the position of the first difference, so that
+/// a token cannot be guessed byte by byte.
 fn constant_time_eq(a: &str, b: &str) -> bool {
     let differing = a.bytes().zip(b.bytes()).fold(0, |differing, (a, b)| differing | (a ^ b));
     a.len() == b.len() && differing == 0
--- a/crates/adapters/src/config.rs
+++ b/crates/adapters/src/config.rs
@@ -1,4 +1,4 @@
-//! What an instance needs to know to start.
+//! The configuration of an instance.
 
 use std::net::IpAddr;
 use std::net::SocketAddr;
@@ -10,7 +10,7 @@
 use hawthornshift_model::Incarnation;
 use hawthornshift_model::InstanceId;
 
-/// What an instance needs to know to start; made by the builder-like setters.
+/// The configuration of an instance; the setters take and return it, like those of a builder.
 #[derive(Clone, Debug)]
 pub struct Config {
     pub(crate) id: InstanceId,
@@ -29,9 +29,9 @@
 }
 
 impl Config {
-    /// Starts with what has no default: who the instance is and where it listens.
+    /// Creates a configuration from the values that have no default: identity, addresses, platform and logger.
     ///
-    /// A port of zero lets the system choose one.
+    /// For a port of zero in `addresses`, the operating system chooses a free port.
     #[must_use]
     pub fn new(
         id: InstanceId,
@@ -58,35 +58,36 @@
         }
     }
 
-    /// Requires a token for everything of the admin service but health, readiness and metrics.
+    /// Sets the token that the admin service requires, except for health, readiness and metrics; `None` requires none.
     #[must_use]
     pub fn admin_token(mut self, token: Option<String>) -> Self {
         self.admin_token = token;
         self
     }
 
-    /// Listens for callers on this address instead of the services' own, at the services' ports.
+    /// Sets the IP address on which to listen for callers, instead of the services' own addresses; the services' ports
+    /// stay. The UDP sockets for targets are bound to it, too.
     #[must_use]
     pub fn listen(mut self, listen: Option<IpAddr>) -> Self {
         self.listen = listen;
         self
     }
 
-    /// Names peers to ask when the platform cannot be reached.
+    /// Sets the control addresses of peers to discover at start, which works while the platform is unreachable.
     #[must_use]
     pub fn peers(mut self, peers: Vec<SocketAddr>) -> Self {
         self.peers = peers;
         self
     }
 
-    /// Replaces the times and limits of the core.
+    /// Sets the timeouts and limits of the core.
     #[must_use]
     pub fn tuning(mut self, tuning: Tuning) -> Self {
         self.tuning = tuning;
         self
     }
 
-    /// Gives the switch by which the log level is changed while the process runs.
+    /// Sets the switch with which the admin service changes the log level at run time.
     #[must_use]
     pub fn level(mut self, level: LevelSwitch) -> Self {
         self.level = level;
@@ -94,13 +95,13 @@
     }
 }
 
-/// Where an instance listens, callers apart.
+/// The addresses on which an instance listens, except those for callers.
 #[derive(Clone, Copy, Debug)]
 pub struct Addresses {
-    /// Messages of other instances, over TCP.
+    /// Messages and forwarded requests of other instances, over TCP.
     pub control: SocketAddr,
     /// Forwarded packets, over UDP.
     pub forward: SocketAddr,
-    /// Operators, over HTTP.
+    /// Requests of operators, over HTTP.
     pub admin: SocketAddr,
 }
--- a/crates/adapters/src/datagrams.rs
+++ b/crates/adapters/src/datagrams.rs
@@ -1,7 +1,8 @@
-//! UDP: callers' packets, packets forwarded between instances, and the local ports towards targets.
+//! UDP sockets for callers, for packets forwarded between instances, and for targets.
 //!
-//! A target's packet comes back to the local port that its flow was given, so one port serves one flow of each
-//! target at once, and an instance needs no more ports than it has flows at its busiest target.
+//! A target replies to the local port that is assigned to the flow, and target and port together identify the flow. A
+//! local port therefore carries at most one flow of each target at a time, and an instance needs no more local ports
+//! than it has flows at its busiest target.
 
 use std::collections::HashMap;
 use std::io;
@@ -23,14 +24,14 @@
 use hawthornshift_core::event::PacketAction;
 use hawthornshift_model::ServiceId;
 
-/// Packets that were lost at a socket.
+/// Counts of packets lost at the sockets.
 #[derive(Debug, Default)]
 pub struct SocketCounts {
-    /// Forwarded packets that could not be read.
+    /// Forwarded packets that could not be decoded.
     pub malformed: AtomicU64,
     /// Packets too large to forward.
     pub too_large: AtomicU64,
-    /// Packets that a full or failing socket did not take.
+    /// Packets that could not be sent because the socket's buffer was full or the socket returned an error.
     pub unsent: AtomicU64,
 }
 
@@ -44,7 +45,8 @@
 }
 
 impl Datagrams {
-    /// Binds the socket for forwarded packets; targets are sent to from `local_ip`.
+    /// Binds the socket for forwarded packets; the sockets for targets are bound to `local_ip`, or to any IPv4 address
+    /// if it is `None`.
     pub(crate) async fn bind(forward: SocketAddr, local_ip: Option<IpAddr>) -> io::Result<Self> {
         Ok(Self {
             forward: Arc::new(UdpSocket::bind(forward).await?),
@@ -60,17 +62,17 @@
         self.forward.local_addr()
     }
 
-    /// Returns the packets lost at sockets.
+    /// Returns the counts of packets lost at the sockets.
     pub fn counts(&self) -> &SocketCounts {
         &self.counts
     }
 
-    /// Gives a service's socket, from which its callers are answered.
+    /// Registers a service's socket, from which replies to its callers are sent.
     pub(crate) fn add_service(&self, service: ServiceId, socket: Arc<UdpSocket>) {
         self.services.write().unwrap_or_else(PoisonError::into_inner).insert(service, socket);
     }
 
-    /// Takes a service's socket away.
+    /// Removes a service's socket.
     pub(crate) fn remove_service(&self, service: ServiceId) {
         self.services.write().unwrap_or_else(PoisonError::into_inner).remove(&service);
     }
@@ -87,7 +89,7 @@
 }
 
 impl Engine {
-    /// Reads a service's packets until the instance or the service ends.
+    /// Receives a service's packets until the instance shuts down or the service is removed.
     pub(crate) async fn serve_datagrams(self: Arc<Self>, service: ServiceId, socket: Arc<UdpSocket>) {
         let mut buf = vec![0; wire::MAX_DATAGRAM_BYTES];
         loop {
@@ -97,7 +99,7 @@
         }
     }
 
-    /// Reads forwarded packets until the instance ends.
+    /// Receives forwarded packets until the instance shuts down.
     pub(crate) async fn serve_forwarded(self: Arc<Self>) {
         let socket = Arc::clone(&self.datagrams.forward);
         let mut buf = vec![0; wire::MAX_DATAGRAM_BYTES];
@@ -118,14 +120,14 @@
     async fn serve_local_port(self: Arc<Self>, local_port: LocalPort, socket: Arc<UdpSocket>) {
         let mut buf = vec![0; wire::MAX_DATAGRAM_BYTES];
         loop {
-            // A target that is gone shows as an error here; its flows end by silence.
+            // An error here can mean that a target no longer listens; its flows end by the idle timeout.
             let Ok((len, target)) = socket.recv_from(&mut buf).await else { continue };
             let action = self.handle_packet(Input::TargetPacket { target, local_port });
             self.perform_packet_action(action, &buf[..len]);
         }
     }
 
-    /// Does what was decided about a packet.
+    /// Performs the action that the core decided on for a packet.
     fn perform_packet_action(self: &Arc<Self>, action: Option<PacketAction>, payload: &[u8]) {
         match action {
             Some(PacketAction::ToTarget { local_port, target }) => {
@@ -150,7 +152,7 @@
         }
     }
 
-    /// Returns the local port of a channel, opened when it is first used.
+    /// Returns the socket of a local port, which is bound on first use; `None` if it cannot be bound.
     fn local_port_socket(self: &Arc<Self>, local_port: LocalPort) -> Option<Arc<UdpSocket>> {
         let local_ports = &self.datagrams.local_ports;
         if let Some(socket) = local_ports.read().unwrap_or_else(PoisonError::into_inner).get(&local_port) {
--- a/crates/adapters/src/engine.rs
+++ b/crates/adapters/src/engine.rs
@@ -1,8 +1,9 @@
-//! Feeds inputs to the core and carries out its outputs.
+//! The driver of the core: passes inputs to the state machine and performs its outputs.
 //!
-//! The core sits behind one lock. Packets, which are many, hold it only for the decision; everything else is carried
-//! out while it is held, so that a cancellation never overtakes the start it cancels. Carrying out never waits: it
-//! sends on non-blocking sockets and spawns tasks.
+//! One lock guards the core. For a packet, which is the most frequent input, the lock covers only the decision; the
+//! packet is sent after the lock is released. All other outputs are performed under the lock, so that a cancellation
+//! never overtakes the start that it cancels. Performing an output never blocks: it sends on non-blocking sockets and
+//! channels, and spawns tasks.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -45,24 +46,24 @@
 use hawthornshift_core::message::Envelope;
 use hawthornshift_model::InstanceId;
 
-/// How a request ended, with the answer if there is one.
+/// The result of a request, with the answer if there is one.
 #[derive(Debug)]
 pub struct RequestOutcome {
-    /// What the core said.
+    /// The reply of the core.
     pub reply: Reply,
-    /// The answer it named.
+    /// The answer that the reply refers to; `None` if the request was refused or the answer is no longer stored.
     pub answer: Option<Arc<Answer>>,
 }
 
-/// A request that the core has a part in.
+/// A request that the core has not replied to yet.
 struct PendingRequest {
     request: Arc<Request>,
     outcome_sender: oneshot::Sender<RequestOutcome>,
-    /// The task that tries it at a target or instance now.
+    /// Handle of the task that currently sends the request to a target or another instance.
     abort_handle: Option<AbortHandle>,
 }
 
-/// Numbers handed out by one engine.
+/// Next ids to assign; they are unique within one engine.
 #[derive(Debug, Default)]
 struct NextIds {
     requests: AtomicU64,
@@ -70,7 +71,7 @@
     streams: AtomicU64,
 }
 
-/// One instance's core with everything that it acts through.
+/// The core of one instance with the sockets, clients and tasks that it drives.
 pub struct Engine {
     pub(crate) config: Config,
     pub(crate) runtime: Handle,
@@ -78,9 +79,9 @@
     pub(crate) log: Logger,
     pub(crate) datagrams: Datagrams,
     pub(crate) peers: PeerClients,
-    /// Signalled when the set in force has changed.
+    /// Signalled when the active configuration set has changed.
     pub(crate) catalog_changed: Notify,
-    /// Signalled when a planned stop is done or a newer life exists.
+    /// Cancelled when a planned stop is complete, or when a newer process uses this instance's id.
     pub(crate) finished: CancellationToken,
     epoch: Instant,
     node: Mutex<Node>,
@@ -90,7 +91,8 @@
     streams: RwLock<HashMap<StreamId, UnboundedSender<StreamCommand>>>,
 }
 
-/// Takes a lock; a panic of another holder leaves data that every decision checks anyway.
+/// Locks a mutex and ignores poisoning: every decision validates the data that it reads, so the data is usable after a
+/// panic of another holder.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
@@ -116,28 +118,28 @@
         })
     }
 
-    /// Returns the present time on the clock that the core is fed with.
+    /// Returns the time since the engine was created, which is the clock of the core.
     pub fn now(&self) -> Timestamp {
         self.epoch.elapsed()
     }
 
-    /// Gives read access to the core.
+    /// Calls `read` with the core, under its lock.
     pub fn with_node<T>(&self, read: impl FnOnce(&Node) -> T) -> T {
         read(&lock(&self.node))
     }
 
-    /// Feeds an input and carries out what follows.
+    /// Passes an input to the core and performs its outputs.
     pub fn handle_input(self: &Arc<Self>, input: Input) {
         self.handle_peer_message(input, None);
     }
 
-    /// Feeds an input and carries out what follows, but returns the messages that are for `sender`: they travel as
-    /// the answer to its own message.
+    /// Passes an input to the core and performs its outputs, except messages addressed to `sender`: they are returned,
+    /// and the caller sends them as the response to the message of `sender`.
     pub fn handle_peer_message(self: &Arc<Self>, input: Input, sender: Option<InstanceId>) -> Vec<Envelope> {
         let mut out = Vec::new();
         let mut replies = Vec::new();
         let mut node = lock(&self.node);
-        // Read under the lock, so that the core never sees time run backwards.
+        // Read under the lock, so that the times passed to the core never decrease.
         let now = self.now();
         node.handle(now, input, &mut out);
         for output in out {
@@ -150,7 +152,9 @@
         replies
     }
 
-    /// Feeds a packet and returns what becomes of it.
+    /// Passes a packet to the core and returns the action for it, if the core decided on one.
+    ///
+    /// The lock is released before the caller performs the action.
     pub fn handle_packet(self: &Arc<Self>, input: Input) -> Option<PacketAction> {
         let mut out = Vec::with_capacity(1);
         let mut node = lock(&self.node);
@@ -199,7 +203,7 @@
             Output::CatalogChanged => self.catalog_changed.notify_one(),
             Output::Stopped => self.finished.cancel(),
             Output::Superseded => {
-                warn!(self.log, "a newer process lives under this instance's id");
+                warn!(self.log, "superseded by a newer process with this instance's id");
                 self.finished.cancel();
             }
             Output::Notice(notice) => {
@@ -209,7 +213,7 @@
         }
     }
 
-    /// Runs a task until it ends or the instance does.
+    /// Spawns a task that is dropped when the instance shuts down.
     pub(crate) fn spawn(&self, task: impl Future<Output = ()> + Send + 'static) -> AbortHandle {
         let shutdown = self.shutdown.clone();
         let task = self.runtime.spawn(async move {
@@ -226,7 +230,9 @@
         self.spawn(async move { engine.exchange(address, envelope).await });
     }
 
-    /// Starts the task that tries a request somewhere.
+    /// Spawns a task that sends a request to a target or another instance, and stores its abort handle.
+    ///
+    /// Does nothing when the request is no longer pending.
     fn spawn_attempt<F, T>(&self, request: RequestId, task: F)
     where
         F: FnOnce(Arc<Request>) -> T,
@@ -250,11 +256,11 @@
             Reply::Answer { answer, .. } => lock(&self.answers).get(answer).cloned(),
             Reply::Refuse { .. } => None,
         };
-        // Nobody waits any more when the caller has gone.
+        // The receiver is dropped when the caller has disconnected.
         let _ = entry.outcome_sender.send(RequestOutcome { reply, answer });
     }
 
-    /// Takes a request in; what comes of it arrives on the returned channel.
+    /// Registers a request and passes it to the core; the returned channel receives its outcome.
     pub(crate) fn submit_request(
         self: &Arc<Self>,
         request: Request,
@@ -268,12 +274,12 @@
         (id, outcome)
     }
 
-    /// Notes that nobody waits for a request any more.
+    /// Reports to the core that the caller of a request has disconnected.
     pub(crate) fn abandon_request(self: &Arc<Self>, request: RequestId) {
         self.handle_input(Input::CallerGone { request });
     }
 
-    /// Keeps an answer until the core says that it can be forgotten.
+    /// Stores an answer until the core releases it with [`Output::ReleaseAnswer`].
     pub(crate) fn store_answer(&self, answer: Answer) -> StoredAnswer {
         let id = self.next_ids.answers.fetch_add(1, Ordering::Relaxed);
         let size = answer.approximate_bytes();
@@ -281,14 +287,14 @@
         StoredAnswer { id, size }
     }
 
-    /// Registers a stream whose task takes orders from the core.
+    /// Registers a stream, whose task receives the core's commands through `commands`.
     pub(crate) fn add_stream(&self, commands: UnboundedSender<StreamCommand>) -> StreamId {
         let id = self.next_ids.streams.fetch_add(1, Ordering::Relaxed);
         self.streams.write().unwrap_or_else(PoisonError::into_inner).insert(id, commands);
         id
     }
 
-    /// Forgets a stream.
+    /// Removes a stream and reports its end to the core.
     pub(crate) fn remove_stream(self: &Arc<Self>, stream: StreamId) {
         self.streams.write().unwrap_or_else(PoisonError::into_inner).remove(&stream);
         self.handle_input(Input::StreamClosed { stream });
@@ -297,12 +303,12 @@
     fn send_command(&self, stream: StreamId, command: StreamCommand) {
         let streams = self.streams.read().unwrap_or_else(PoisonError::into_inner);
         if let Some(commands) = streams.get(&stream) {
-            // A stream that has just ended takes no more orders.
+            // The receiver is dropped when the stream has just ended.
             let _ = commands.send(command);
         }
     }
 
-    /// Feeds ticks until the instance ends.
+    /// Passes a tick to the core every [`TICK_PERIOD`](hawthornshift_core::node::TICK_PERIOD) until shutdown.
     pub(crate) async fn tick(self: Arc<Self>) {
         let mut interval = tokio::time::interval(hawthornshift_core::node::TICK_PERIOD);
         interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -313,5 +319,5 @@
     }
 }
 
-/// Time that a connection to a target or peer may take to come about.
+/// Limit on the time to establish a connection to a target or peer.
 pub(crate) const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
--- a/crates/adapters/src/execute.rs
+++ b/crates/adapters/src/execute.rs
@@ -1,4 +1,4 @@
-//! One try of a request at a target.
+//! A single attempt of a request at a target.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -27,8 +27,8 @@
 use hawthornshift_model::Verdict;
 
 impl Engine {
-    /// Sends a request to a target and feeds how it ended. Dropping the task closes the connection, which is how a
-    /// target learns that the request is cancelled.
+    /// Sends a request to a target and passes the outcome to the core. Aborting the task closes the connection, which
+    /// signals to the target that the request is cancelled.
     pub(crate) async fn execute(
         self: Arc<Self>,
         request: RequestId,
@@ -77,8 +77,8 @@
     }
 }
 
-/// Tells whether a target has said that it refused a request before running it. A bare 503 does not say that: it is
-/// an answer like any other.
+/// Returns whether a target reports that it refused a request before running it: status 503 with the verdict `not-run`.
+/// A 503 without this verdict is an ordinary answer.
 fn refused_before_running(response: &Response) -> bool {
     let verdict = response.headers.get(VERDICT_HEADER).and_then(|value| value.to_str().ok());
     response.status == StatusCode::SERVICE_UNAVAILABLE && verdict == Some(Verdict::NotRun.into())
--- a/crates/adapters/src/http_client.rs
+++ b/crates/adapters/src/http_client.rs
@@ -1,4 +1,4 @@
-//! Small HTTP/1.1 exchanges: one connection, one request, one answer held whole.
+//! An HTTP/1.1 client for single exchanges: one connection, one request, one buffered answer.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,64 +18,64 @@
 use thiserror::Error;
 use tokio::net::TcpStream;
 
-/// An exchange that failed.
+/// Error of an exchange; each variant states whether the request may have been sent.
 #[derive(Debug, Error)]
 pub enum ExchangeError {
-    /// No connection came about; nothing was sent.
+    /// The connection was not established; nothing was sent.
     #[error("cannot connect to {address}: {source}")]
     Connect {
-        /// Where to.
+        /// Address of the server.
         address: SocketAddr,
-        /// Why not.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The connection broke; the request may have arrived.
-    #[error("the connection broke: {0}")]
+    /// The connection failed, or the server did not speak HTTP; the request may have arrived.
+    #[error("connection failed: {0}")]
     ConnectionBroken(#[from] hyper::Error),
-    /// The request cannot be written as HTTP; nothing was sent.
-    #[error("the request is malformed: {0}")]
+    /// The request is not valid HTTP; nothing was sent.
+    #[error("invalid request: {0}")]
     Malformed(#[from] http::Error),
-    /// The answer broke off or is larger than allowed.
-    #[error("the answer is incomplete: {0}")]
+    /// The body of the answer was cut short or exceeds the size limit; the request has arrived.
+    #[error("incomplete answer: {0}")]
     Incomplete(String),
-    /// It took too long.
+    /// The exchange exceeded its timeout; the request may have arrived.
     #[error("no answer within {0:?}")]
     Timeout(Duration),
 }
 
-/// An answer, whole.
+/// A buffered answer.
 #[derive(Clone, Debug)]
 pub struct Response {
-    /// Its status.
+    /// Status.
     pub status: StatusCode,
-    /// Its headers.
+    /// Headers.
     pub headers: HeaderMap,
-    /// Its body.
+    /// Complete body.
     pub body: Bytes,
 }
 
-/// Connects to an HTTP server.
+/// Connects to an HTTP server and spawns a task that drives the connection.
 ///
 /// # Errors
 ///
-/// Fails when the server cannot be reached; nothing has been sent then.
+/// Fails when the server cannot be reached; no request has been sent then.
 pub async fn connect(address: SocketAddr) -> Result<SendRequest<Full<Bytes>>, ExchangeError> {
     let connect_error = |source| ExchangeError::Connect { address, source };
     let stream = TcpStream::connect(address).await.map_err(connect_error)?;
     stream.set_nodelay(true).map_err(connect_error)?;
     let (sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
-    // The connection ends with its sender; an error on the way reaches whoever waits for the answer.
+    // The task ends when the sender is dropped; a connection error is returned to the caller that waits for the answer.
     tokio::spawn(async move {
         let _ = connection.await;
     });
     Ok(sender)
 }
 
-/// Sends a request on a connection and reads the whole answer, of at most `limit` bytes.
+/// Sends a request on a connection and reads the complete answer, whose body may have at most `limit` bytes.
 ///
 /// # Errors
 ///
-/// Fails when the connection breaks or the answer is cut short or too large.
+/// Fails when the connection fails, or when the body of the answer is cut short or too large.
 pub async fn exchange(
     sender: &mut SendRequest<Full<Bytes>>,
     request: Request<Full<Bytes>>,
@@ -88,10 +88,10 @@
     Ok(Response { status: parts.status, headers: parts.headers, body: body.to_bytes() })
 }
 
-/// One small exchange.
+/// One exchange on a connection of its own.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// Where to.
+    /// Address of the server.
     pub address: SocketAddr,
     /// Method.
     pub method: Method,
@@ -101,25 +101,25 @@
     pub headers: HeaderMap,
     /// Body.
     pub body: Bytes,
-    /// Longest time it may take.
+    /// Limit on the time of the whole exchange, including the connect.
     pub timeout: Duration,
-    /// Most bytes of the answer.
+    /// Maximum size of the answer's body, in bytes.
     pub limit: usize,
 }
 
 impl Call {
-    /// Makes a `GET`.
+    /// Creates a `GET` request without headers and body.
     #[must_use]
     pub fn get(address: SocketAddr, path: impl Into<String>, timeout: Duration, limit: usize) -> Self {
         let (method, path) = (Method::GET, path.into());
         Self { address, method, path, headers: HeaderMap::new(), body: Bytes::new(), timeout, limit }
     }
 
-    /// Connects, sends and reads the whole answer.
+    /// Connects, sends the request and reads the complete answer.
     ///
     /// # Errors
     ///
-    /// Fails as [`connect`] and [`exchange`] do, or when the time is over.
+    /// Fails as [`build`], [`connect`] and [`exchange`] do, or with [`ExchangeError::Timeout`].
     pub async fn send(self) -> Result<Response, ExchangeError> {
         let timeout = self.timeout;
         let result = tokio::time::timeout(timeout, self.send_without_timeout()).await;
@@ -133,11 +133,11 @@
     }
 }
 
-/// Builds a request.
+/// Builds a request with a `Host` header for `address`.
 ///
 /// # Errors
 ///
-/// Fails when the path is not one of HTTP.
+/// Fails when `path` is not a valid HTTP request target.
 pub fn build(
     address: SocketAddr,
     method: Method,
--- a/crates/adapters/src/instance.rs
+++ b/crates/adapters/src/instance.rs
@@ -1,4 +1,4 @@
-//! The life cycle of an instance, as types: configured, serving, stopped.
+//! The life cycle of an instance as a type state: configured, serving, stopped.
 
 use std::io;
 use std::net::SocketAddr;
@@ -25,31 +25,31 @@
 use hawthornshift_core::dump::Dump;
 use hawthornshift_core::membership::Identity;
 
-/// Time that answers just given may take to leave the process.
+/// Delay before a stop closes connections, so that the last answers are written.
 const FLUSH_DELAY: Duration = Duration::from_millis(300);
 
-/// An instance that cannot start.
+/// An error that prevents an instance from starting.
 #[derive(Debug, Error)]
 pub enum StartError {
     /// A listener cannot be opened.
     #[error("cannot listen for {what} on {address}: {source}")]
     Listen {
-        /// What it is for.
+        /// Purpose of the listener, for the message.
         what: &'static str,
-        /// Where.
+        /// Address that could not be opened.
         address: SocketAddr,
-        /// Why not.
+        /// Error of the operating system.
         source: io::Error,
     },
 }
 
-/// An instance that has its settings and nothing else.
+/// State of an instance that has its configuration and has not opened any socket.
 #[derive(Debug)]
 pub struct Configured {
     config: Config,
 }
 
-/// An instance that serves.
+/// State of an instance that serves.
 pub struct Serving {
     engine: Arc<Engine>,
     admin: WebServer,
@@ -59,20 +59,20 @@
     closing: CancellationToken,
 }
 
-/// An instance that has ended.
+/// State of an instance that has stopped.
 #[derive(Debug)]
 pub struct Stopped {
     dump: Dump,
 }
 
-/// An instance in one of the states of its life.
+/// An instance in one of the states [`Configured`], [`Serving`] and [`Stopped`].
 #[derive(Debug)]
 pub struct Instance<State> {
     state: State,
 }
 
 impl Instance<Configured> {
-    /// Takes the settings.
+    /// Creates an instance from its configuration.
     #[must_use]
     pub fn new(config: Config) -> Self {
         Self { state: Configured { config } }
@@ -80,7 +80,8 @@
 
     /// Opens the listeners and starts to serve.
     ///
-    /// An unreachable platform does not keep an instance from starting: it asks its peers, and tries again.
+    /// An instance starts even if the platform is unreachable: it queries its configured peers and retries the
+    /// platform.
     ///
     /// # Errors
     ///
@@ -112,37 +113,37 @@
 }
 
 impl Instance<Serving> {
-    /// Returns where peers reach the instance.
+    /// Returns the TCP address for peers.
     #[must_use]
     pub fn control_address(&self) -> SocketAddr {
         self.state.engine.config.control
     }
 
-    /// Returns where forwarded packets reach the instance.
+    /// Returns the UDP address for forwarded packets.
     #[must_use]
     pub fn forward_address(&self) -> SocketAddr {
         self.state.engine.config.forward
     }
 
-    /// Returns where operators reach the instance.
+    /// Returns the TCP address of the admin service.
     #[must_use]
     pub fn admin_address(&self) -> SocketAddr {
         self.state.admin_address
     }
 
-    /// Returns the state.
+    /// Returns a snapshot of the state.
     #[must_use]
     pub fn dump(&self) -> Dump {
         let now = self.state.engine.now();
         self.state.engine.with_node(|node| node.dump(now))
     }
 
-    /// Waits until the instance has stopped by itself: an operator had it drain, or a newer life of it exists.
+    /// Waits until the instance has finished: a requested drain is complete, or a newer process uses its id.
     pub async fn finished(&self) {
         self.state.engine.finished.cancelled().await;
     }
 
-    /// Stops as planned: serves what it has to the end, then closes everything.
+    /// Stops gracefully: waits until the core has completed its open work, then closes all listeners and tasks.
     pub async fn stop(self) -> Instance<Stopped> {
         self.state.engine.handle_input(Input::Stop);
         self.finished().await;
@@ -158,7 +159,7 @@
         Instance { state: Stopped { dump } }
     }
 
-    /// Ends at once, as a crash would: nothing is finished and nobody is told.
+    /// Stops immediately, as a crash would: open work is dropped and no peer or caller is notified.
     pub async fn kill(self) {
         let Serving { engine, admin, peers, listeners, closing, .. } = self.state;
         engine.shutdown.cancel();
@@ -170,7 +171,7 @@
 }
 
 impl Instance<Stopped> {
-    /// Returns the last state.
+    /// Returns the state at the end of the stop.
     #[must_use]
     pub fn dump(&self) -> &Dump {
         &self.state.dump
--- a/crates/adapters/src/lib.rs
+++ b/crates/adapters/src/lib.rs
@@ -1,15 +1,15 @@
-//! Sockets, protocols, logs and metrics around the core.
+//! Sockets, protocols, logs and metrics for the core, which does no I/O itself.
 //!
-//! The core decides; this package listens, sends and waits. Each module is one adapter:
+//! The core makes all decisions; this package performs the I/O and runs the timers. Each module is one adapter:
 //!
-//! - towards callers: [`datagrams`], [`streams`] and [`requests`];
-//! - towards targets: [`execute`] and [`probe`], besides the sockets of [`datagrams`] and [`streams`];
-//! - between instances: [`peers`] for messages and passed requests, [`wire`] for forwarded packets;
-//! - towards the platform: [`platform`];
-//! - towards operators: [`admin`], [`logs`] and [`metrics`].
+//! - for callers: [`datagrams`], [`streams`] and [`requests`];
+//! - for targets: [`execute`] and [`probe`], and the sockets of [`datagrams`] and [`streams`];
+//! - between instances: [`peers`] for messages and forwarded requests, [`wire`] for forwarded packets;
+//! - for the platform: [`platform`];
+//! - for operators: [`admin`], [`logs`] and [`metrics`].
 //!
-//! [`engine`] joins them: it feeds inputs to the core and carries out its outputs. [`instance`] is the life cycle of
-//! the whole.
+//! [`engine`] connects them: it passes inputs to the core and performs its outputs. [`instance`] is the life cycle of
+//! an instance.
 
 pub mod admin;
 pub mod config;
--- a/crates/adapters/src/listeners.rs
+++ b/crates/adapters/src/listeners.rs
@@ -1,4 +1,4 @@
-//! Listeners towards callers, which follow the set in force.
+//! Listeners for callers, one for each service of the active configuration set.
 
 use std::collections::HashMap;
 use std::io;
@@ -20,24 +20,24 @@
 use hawthornshift_model::Protocol;
 use hawthornshift_model::ServiceId;
 
-/// Time after which a listener that could not be opened is tried again.
+/// Time between attempts to open a listener that could not be opened.
 const RETRY_PERIOD: Duration = Duration::from_secs(2);
 
-/// What serves the callers of one service.
+/// The listener of one service, with what stops it.
 enum Listener {
     Datagrams(AbortHandle),
     Streams(CancellationToken),
     Requests(WebServer),
 }
 
-/// The listeners of one instance.
+/// The open listeners of one instance.
 #[derive(Default)]
 pub(crate) struct Listeners {
     open: HashMap<ServiceId, Listener>,
 }
 
 impl Listeners {
-    /// Opens and closes listeners until `closing`, as the set in force changes; then closes all.
+    /// Opens and closes listeners as the active configuration set changes; closes all once `closing` is cancelled.
     pub(crate) async fn run(mut self, engine: Arc<Engine>, closing: CancellationToken) {
         loop {
             let complete = self.reconcile(&engine).await;
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Returns whether every service has its listener.
+    /// Closes the listeners of removed services and opens missing ones; returns whether every service has a listener.
     async fn reconcile(&mut self, engine: &Arc<Engine>) -> bool {
         let catalog = engine.with_node(|node| Arc::clone(node.catalog()));
         let removed: Vec<ServiceId> =
@@ -79,7 +79,7 @@
                     self.open.insert(service.id, listener);
                 }
                 Err(error) => {
-                    // An occupied port must not keep the other services from being served.
+                    // A port in use must not prevent the other services from being served.
                     let address = listen_address(engine, service);
                     error!(engine.log, "cannot listen"; "service" => &service.name, "address" => %address, "error" => %error);
                     complete = false;
--- a/crates/adapters/src/logs.rs
+++ b/crates/adapters/src/logs.rs
@@ -1,4 +1,4 @@
-//! Logs as JSON lines.
+//! Logging as JSON lines.
 
 use std::io;
 use std::sync::Arc;
@@ -11,10 +11,10 @@
 use slog::OwnedKVList;
 use slog::Record;
 
-/// Records that may wait for a slow reader of the log before further ones are dropped and counted.
+/// Maximum number of records queued while the log's reader is slow; further records are dropped and counted.
 const MAX_QUEUED_RECORDS: usize = 4_096;
 
-/// The level below which nothing is logged; it can be changed while the process runs.
+/// The minimum level of logged records; it can be changed at run time, and clones share it.
 #[derive(Clone, Debug)]
 pub struct LevelSwitch(Arc<AtomicUsize>);
 
@@ -25,13 +25,13 @@
 }
 
 impl LevelSwitch {
-    /// Starts at a level.
+    /// Creates a switch with an initial level.
     #[must_use]
     pub fn new(level: Level) -> Self {
         Self(Arc::new(AtomicUsize::new(level.as_usize())))
     }
 
-    /// Changes the level.
+    /// Sets the level.
     pub fn set(&self, level: Level) {
         self.0.store(level.as_usize(), Ordering::Relaxed);
     }
@@ -41,7 +41,7 @@
     }
 }
 
-/// Passes on what the switch allows.
+/// A drain that forwards the records whose level the switch allows.
 struct LevelFiltered<D> {
     inner: D,
     switch: LevelSwitch,
@@ -56,19 +56,19 @@
     }
 }
 
-/// Makes a logger that writes JSON lines to standard error.
+/// Creates a logger that writes JSON lines to standard error.
 pub fn logger(switch: LevelSwitch) -> Logger {
     logger_to(io::stderr(), switch)
 }
 
-/// Makes a logger that writes JSON lines through a thread of its own: whoever logs never waits for the reader.
+/// Creates a logger that writes JSON lines on a separate thread, so that logging never blocks on a slow reader.
 pub fn logger_to(writer: impl io::Write + Send + 'static, switch: LevelSwitch) -> Logger {
     let json = slog_json::Json::default(writer).fuse();
     let queue = slog_async::Async::new(json).chan_size(MAX_QUEUED_RECORDS).build().fuse();
     Logger::root(LevelFiltered { inner: queue, switch }.fuse(), slog::o!())
 }
 
-/// Makes a logger that writes nothing.
+/// Creates a logger that discards all records.
 pub fn silent() -> Logger {
     Logger::root(slog::Discard, slog::o!())
 }
--- a/crates/adapters/src/metrics.rs
+++ b/crates/adapters/src/metrics.rs
@@ -1,7 +1,7 @@
-//! Metrics in the text format of Prometheus.
+//! Metrics in the Prometheus text format.
 //!
-//! The core counts; this module publishes its counts when they are asked for. Each scrape records into a recorder of
-//! its own, so that several instances in one process (as in the demo) do not mix.
+//! The core keeps the counts; this module exports them on each scrape. Each scrape uses a recorder of its own, so that
+//! the metrics of several instances in one process (as in the demo) stay separate.
 
 use metrics::counter;
 use metrics::gauge;
@@ -10,7 +10,7 @@
 use crate::datagrams::SocketCounts;
 use hawthornshift_core::dump::Dump;
 
-/// Returns an instance's metrics as text.
+/// Returns an instance's metrics in the Prometheus text format.
 #[must_use]
 pub fn render(dump: &Dump, sockets: &SocketCounts) -> String {
     let recorder = PrometheusBuilder::new().build_recorder();
--- a/crates/adapters/src/payload.rs
+++ b/crates/adapters/src/payload.rs
@@ -1,4 +1,4 @@
-//! HTTP messages while they are held whole.
+//! Buffered HTTP messages: requests and answers with their complete bodies.
 
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD;
@@ -13,21 +13,22 @@
 use serde::Serialize;
 use serde::Serializer;
 
-/// Most bytes of a request's or an answer's body.
+/// Maximum size of a request's or an answer's body, in bytes.
 pub const MAX_BODY_BYTES: usize = 1 << 20;
 
-/// Says whether a failed request may have run.
+/// Answer header: the verdict, which states whether the request was answered, did not run or may have run.
 pub const VERDICT_HEADER: &str = "hawthornshift-verdict";
-/// Says why a request failed.
+/// Answer header: the reason why a request failed.
 pub const REASON_HEADER: &str = "hawthornshift-reason";
-/// Carries a ticket from a caller.
+/// Request header: the ticket that the caller presents.
 pub const TICKET_HEADER: &str = "idempotency-key";
-/// Brings a caller the ticket for its next request.
+/// Answer header: the ticket for the caller's next request.
 pub const NEXT_TICKET_HEADER: &str = "hawthornshift-ticket";
-/// Carries the milliseconds that are left for a request.
+/// Request header: the time left for the request, in milliseconds.
 pub const TIMEOUT_HEADER: &str = "hawthornshift-timeout-ms";
 
-/// Headers that concern one connection and are not passed on.
+/// Headers that apply to a single connection and are not forwarded; `host` and `content-length` are set again for each
+/// connection.
 const HOP_BY_HOP_HEADERS: [&str; 9] = [
     "connection",
     "content-length",
@@ -40,7 +41,7 @@
     "upgrade",
 ];
 
-/// One header as it travels between instances.
+/// One header in the encoding used between instances; the value is in base64.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Header {
@@ -49,7 +50,7 @@
     value: Bytes,
 }
 
-/// A request, whole.
+/// A buffered request; the body is encoded in base64.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Request {
@@ -61,19 +62,19 @@
 }
 
 impl Request {
-    /// Makes a request from its parts, without the headers of the connection it came on.
+    /// Creates a request from its parts, without the hop-by-hop headers.
     #[must_use]
     pub fn new(method: &Method, path: &str, headers: &HeaderMap, body: Bytes) -> Self {
         Self { method: method.to_string(), path: path.to_owned(), headers: end_to_end_headers(headers), body }
     }
 
-    /// Tells whether running the request twice does no harm, by its method's definition in HTTP.
+    /// Returns whether the method is idempotent as defined by HTTP.
     #[must_use]
     pub fn is_idempotent(&self) -> bool {
         Method::from_bytes(self.method.as_bytes()).is_ok_and(|method| method.is_idempotent())
     }
 
-    /// Returns the method; an unusual one comes back as it was sent.
+    /// Returns the method; extension methods are preserved, and an invalid one is returned as `GET`.
     #[must_use]
     pub fn method(&self) -> Method {
         Method::from_bytes(self.method.as_bytes()).unwrap_or(Method::GET)
@@ -98,7 +99,7 @@
     }
 }
 
-/// An answer, whole.
+/// A buffered answer; the body is encoded in base64.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Answer {
@@ -109,13 +110,13 @@
 }
 
 impl Answer {
-    /// Makes an answer from its parts, without the headers of the connection it came on.
+    /// Creates an answer from its parts, without the hop-by-hop headers.
     #[must_use]
     pub fn new(status: StatusCode, headers: &HeaderMap, body: Bytes) -> Self {
         Self { status: status.as_u16(), headers: end_to_end_headers(headers), body }
     }
 
-    /// Returns the status.
+    /// Returns the status; an invalid one is returned as 502.
     #[must_use]
     pub fn status(&self) -> StatusCode {
         StatusCode::from_u16(self.status).unwrap_or(StatusCode::BAD_GATEWAY)
@@ -133,7 +134,7 @@
         &self.body
     }
 
-    /// Returns about how many bytes it takes to keep.
+    /// Returns the approximate memory that the answer takes, in bytes.
     #[must_use]
     pub fn approximate_bytes(&self) -> usize {
         let headers: usize = self.headers.iter().map(|header| header.name.len() + header.value.len()).sum();
--- a/crates/adapters/src/peers.rs
+++ b/crates/adapters/src/peers.rs
@@ -1,7 +1,7 @@
-//! Messages and passed requests between instances, over JSON-RPC.
+//! Messages and forwarded requests between instances, over JSON-RPC.
 //!
-//! A message is a call of `exchange`; what the receiver has to say to the sender at once comes back as its result. A
-//! passed request is a call of `forward_request`, which lasts until the request has ended.
+//! A message is a call of the method `exchange`; the messages that the receiver returns to the sender are its result.
+//! A forwarded request is a call of the method `pass`, which returns when the request has ended.
 
 use std::collections::HashMap;
 use std::error::Error as StdError;
@@ -39,18 +39,18 @@
 use hawthornshift_model::InstanceId;
 use hawthornshift_model::Verdict;
 
-/// Longest time a message may take; it is shorter than a period of heartbeats needs to be noticed.
+/// Timeout of a message; it is shorter than the time that a missing heartbeat takes to be detected.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Longest time a passed request may take; its own deadline ends it long before.
+/// Timeout of a forwarded request; the deadline of the request itself normally ends the call much earlier.
 const FORWARD_TIMEOUT: Duration = Duration::from_hours(24);
-/// Time between two tries to reach the peers named in the settings.
+/// Time between two attempts to reach the configured peers.
 const DISCOVERY_RETRY_PERIOD: Duration = Duration::from_secs(1);
-/// Most bytes of one call: a body in base64 with its headers.
+/// Maximum size of a call and of its result, in bytes: a body in base64 with its headers.
 const MAX_CALL_BYTES: u32 = 4 << 20;
-/// Most connections of peers at once.
+/// Maximum number of concurrent connections from peers.
 const MAX_CONNECTIONS: u32 = 4_096;
 
-/// A request passed to another instance.
+/// Parameters of `pass`: a request forwarded to another instance.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ForwardRequestCall {
@@ -60,7 +60,7 @@
     request: Request,
 }
 
-/// How a passed request ended.
+/// Result of `pass`: the outcome of a forwarded request and the receiver's free slots, if it reports them.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ForwardRequestResult {
@@ -68,28 +68,28 @@
     free: Option<u32>,
 }
 
-/// With an answer or without.
+/// Outcome of a forwarded request.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub enum ForwardRequestOutcome {
     /// The target's answer.
     Answered(Answer),
-    /// Why there is none.
+    /// The verdict and the reason why there is no answer.
     Refused(Refusal),
 }
 
-/// What instances call on each other.
+/// The RPC methods that instances call on each other.
 #[rpc(server, client, namespace = "peer")]
 pub trait Peer {
-    /// Says who the receiver is.
+    /// Returns the receiver's own membership entry.
     #[method(name = "introduce")]
     async fn introduce(&self) -> RpcResult<MemberUpdate>;
 
-    /// Delivers a message; returns what the receiver says to the sender at once.
+    /// Delivers a message; returns the messages that the receiver sends back immediately.
     #[method(name = "exchange")]
     async fn exchange(&self, envelope: Envelope) -> RpcResult<Vec<Envelope>>;
 
-    /// Passes a request; returns when it has ended.
+    /// Forwards a request; returns when it has ended.
     #[method(name = "pass")]
     async fn forward_request(&self, call: ForwardRequestCall) -> RpcResult<ForwardRequestResult>;
 }
@@ -115,7 +115,7 @@
             free: None,
         };
         if call.to != self.engine.config.id {
-            // Another instance lives here now. It has run nothing of this request.
+            // This address now belongs to another instance, which has run no part of the request.
             return Ok(refused(Verdict::NotRun, Reason::ConnectionBroken));
         }
         let ForwardRequestCall { from, head, request, .. } = call;
@@ -136,7 +136,7 @@
     }
 }
 
-/// Starts to answer peers on a listener.
+/// Starts the RPC server for peers on a listener.
 pub(crate) fn serve(engine: Arc<Engine>, listener: TcpListener) -> std::io::Result<ServerHandle> {
     let config = ServerConfig::builder()
         .http_only()
@@ -149,7 +149,7 @@
     Ok(server.start(PeerService { engine }.into_rpc()))
 }
 
-/// Clients of other instances, made when they are first called.
+/// RPC clients of other instances, created on the first call to each address and timeout.
 #[derive(Debug, Default)]
 pub struct PeerClients {
     clients: Mutex<HashMap<(SocketAddr, Duration), HttpClient>>,
@@ -174,7 +174,7 @@
 }
 
 impl Engine {
-    /// Sends a message and feeds what comes back.
+    /// Sends a message and passes the returned messages to the core, or reports the receiver as unreachable.
     pub(crate) async fn exchange(self: Arc<Self>, address: SocketAddr, envelope: Envelope) {
         let to = envelope.to;
         let replies = match self.peers.get(address, EXCHANGE_TIMEOUT) {
@@ -191,9 +191,9 @@
         }
     }
 
-    /// Asks the peers named in the settings who they are, until each has said so.
+    /// Requests the membership entry of each configured peer until all have responded.
     ///
-    /// It is how an instance finds the others while the platform cannot be reached.
+    /// This lets an instance discover the others while the platform is unreachable.
     pub(crate) async fn discover_peers(self: Arc<Self>) {
         let mut unknown = self.config.peers.clone();
         unknown.retain(|address| *address != self.config.control);
@@ -215,7 +215,7 @@
         PeerClient::introduce(&client).await
     }
 
-    /// Passes a request and feeds how it ended.
+    /// Forwards a request to another instance and passes the outcome to the core.
     pub(crate) async fn forward(
         self: Arc<Self>,
         request: RequestId,
@@ -243,7 +243,8 @@
     }
 }
 
-/// Tells from a failed call whether the other instance may have got it.
+/// Returns [`Verdict::NotRun`] if a failed call never connected, and [`Verdict::MayHaveRun`] if the receiver may have
+/// received it.
 fn verdict_of_call_error(error: &ClientError) -> Verdict {
     let mut source: Option<&(dyn StdError + 'static)> = match error {
         ClientError::Transport(error) => Some(error.as_ref()),
@@ -258,5 +259,5 @@
     Verdict::MayHaveRun
 }
 
-/// Whether a body of the largest size, in base64 with room for its headers, fits one call.
+/// Checks that a body of the maximum size fits one call in base64, with 1 MiB left for headers.
 const _: () = assert!(MAX_BODY_BYTES / 3 * 4 + (1 << 20) < MAX_CALL_BYTES as usize);
--- a/crates/adapters/src/platform.rs
+++ b/crates/adapters/src/platform.rs
@@ -1,8 +1,8 @@
-//! Reads of the platform: a small published interface over HTTP.
+//! A client of the platform's HTTP interface, with long polling.
 //!
-//! `GET /v1/set?after=REVISION&wait_ms=MILLISECONDS` answers 200 with the published set in JSON when its revision is
-//! not the one named, and 304 when there is nothing newer within the wait. `GET /v1/instances` does the same for the
-//! list of instances and its version. Nothing is ever written.
+//! `GET /v1/set?after=REVISION&wait_ms=MILLISECONDS` returns 200 with the published configuration set in JSON when its
+//! revision differs from `after`, and 304 when it has not changed within `wait_ms`. `GET /v1/instances` does the same
+//! for the list of instances and its version. The client only reads.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,24 +22,24 @@
 use hawthornshift_model::check::CheckError;
 use hawthornshift_model::check::MAX_SET_BYTES;
 
-/// Time that an answer may take beyond the wait asked for.
+/// Time that a response may take beyond the requested wait.
 const RESPONSE_GRACE: Duration = Duration::from_secs(2);
 
-/// A read that brought nothing usable.
+/// Error of a read.
 #[derive(Debug, Error)]
 enum ReadError {
     #[error(transparent)]
     Exchange(#[from] ExchangeError),
-    #[error("the platform answered {0}")]
+    #[error("the platform returned status {0}")]
     Status(StatusCode),
     #[error(transparent)]
     Set(#[from] CheckError),
-    #[error("the list of instances cannot be read: {0}")]
+    #[error("invalid list of instances: {0}")]
     List(#[from] serde_json::Error),
 }
 
 impl Engine {
-    /// Reads the platform and feeds what it said.
+    /// Reads a resource of the platform and passes the result to the core; an error is logged.
     pub(crate) async fn read_platform(self: Arc<Self>, read: PlatformRead) {
         match self.fetch(read).await {
             Ok(input) => self.handle_input(input),
--- a/crates/adapters/src/probe.rs
+++ b/crates/adapters/src/probe.rs
@@ -1,6 +1,6 @@
-//! Health and load checks of targets: `GET /health`, answered with `{"state":"cold","running":1}`.
+//! Health checks of targets: `GET /health`, which returns for example `{"state":"cold","running":1}`.
 //!
-//! The state is `cold`, `warm` or `leaving`; `running`, the requests under way, may be left out.
+//! `state` is `cold`, `warm` or `leaving`; `running`, the number of requests in progress, is optional.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,12 +14,12 @@
 use hawthornshift_core::event::HealthReport;
 use hawthornshift_model::TargetId;
 
-/// Longest time a health check may take.
+/// Timeout of a health check, including the connect.
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(500);
-/// Most bytes of its answer.
+/// Maximum size of a health check's answer, in bytes.
 const MAX_ANSWER_BYTES: usize = 4_096;
 
-/// A target's answer; fields besides its state are its own.
+/// The answer of a target; other fields are ignored.
 #[derive(Debug, Deserialize)]
 struct HealthAnswer {
     state: HealthReport,
@@ -28,7 +28,7 @@
 }
 
 impl Engine {
-    /// Checks a target's health and feeds what it said.
+    /// Checks the health of a target and passes the result to the core; a failed check has no report.
     pub(crate) async fn check_health(self: Arc<Self>, target: TargetId, address: SocketAddr) {
         let answer = Call::get(address, "/health", HEALTH_CHECK_TIMEOUT, MAX_ANSWER_BYTES).send().await;
         let report = answer.ok().filter(|answer| answer.status.is_success());
--- a/crates/adapters/src/requests.rs
+++ b/crates/adapters/src/requests.rs
@@ -1,4 +1,4 @@
-//! HTTP requests of callers.
+//! HTTP requests from callers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -31,7 +31,7 @@
 use hawthornshift_model::ServiceId;
 use hawthornshift_model::Verdict;
 
-/// The body of an answer that this system gives itself.
+/// The JSON body of an answer that an instance generates itself.
 #[derive(Debug, Serialize)]
 #[serde(deny_unknown_fields)]
 struct FailureBody<'a> {
@@ -41,7 +41,7 @@
     ticket: Option<&'a str>,
 }
 
-/// Takes the requests of one service's callers.
+/// Handles the requests of one service's callers.
 pub(crate) struct RequestHandler {
     engine: Arc<Engine>,
     service: ServiceId,
@@ -53,7 +53,7 @@
     }
 }
 
-/// Tells the core when the caller of a request has gone before its answer.
+/// Reports to the core, on drop, that the caller disconnected before its request was answered.
 struct CallerGuard {
     engine: Arc<Engine>,
     request: RequestId,
@@ -91,11 +91,11 @@
         guard.answered = true;
         let mut answer = match outcome {
             Ok(outcome) => outcome_answer(&outcome),
-            // The engine ended without an answer, which a planned stop never does.
+            // The engine shut down before it replied; a planned stop replies to all requests first.
             Err(_) => refusal_answer(Refusal { verdict: Verdict::MayHaveRun, reason: Reason::Stopping }, None, None),
         };
         if !self.engine.with_node(hawthornshift_core::Node::is_ready) {
-            // The caller's next connection should go to an instance that stays.
+            // Makes the caller reconnect, so that its next request can reach an instance that is ready.
             answer.headers.insert(CONNECTION, HeaderValue::from_static("close"));
         }
         answer
@@ -159,7 +159,7 @@
     }
 }
 
-/// Chooses the status that HTTP has for a refusal.
+/// Returns the HTTP status for a refusal.
 fn status_of_refusal(refusal: Refusal) -> StatusCode {
     match refusal.reason {
         Reason::TicketRequired => StatusCode::PRECONDITION_REQUIRED,
--- a/crates/adapters/src/streams.rs
+++ b/crates/adapters/src/streams.rs
@@ -1,4 +1,4 @@
-//! TCP streams between callers and targets.
+//! TCP proxying between callers and targets.
 
 use std::io;
 use std::net::SocketAddr;
@@ -16,17 +16,17 @@
 use hawthornshift_core::Input;
 use hawthornshift_model::ServiceId;
 
-/// What the core orders a stream to do.
+/// A command of the core to the task of a stream.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum StreamCommand {
     /// Connect to a target.
     Connect(SocketAddr),
-    /// End.
+    /// Close both connections.
     Close,
 }
 
 impl Engine {
-    /// Accepts a service's streams until `closing`; streams that were accepted go on.
+    /// Accepts a service's streams until `closing` is cancelled; accepted streams continue.
     pub(crate) async fn serve_streams(
         self: Arc<Self>,
         service: ServiceId,
@@ -73,7 +73,7 @@
     Ok(stream)
 }
 
-/// Waits until the core orders the stream to end.
+/// Waits for [`StreamCommand::Close`]; waits forever if the channel is closed.
 async fn close_ordered(commands: &mut UnboundedReceiver<StreamCommand>) {
     while let Some(command) = commands.recv().await {
         if command == StreamCommand::Close {
--- a/crates/adapters/src/web.rs
+++ b/crates/adapters/src/web.rs
@@ -1,4 +1,4 @@
-//! HTTP servers on `xitca-web`: one handler for every path, bodies held whole within a limit.
+//! HTTP servers on `xitca-web`: one handler for all paths; bodies are buffered up to a limit.
 
 use std::io;
 use std::net::TcpListener;
@@ -20,18 +20,18 @@
 use xitca_web::http::WebResponse;
 use xitca_web::service::fn_service;
 
-/// Time in which a caller must have sent the head of its request.
+/// Limit on the time to receive the head of a request.
 const REQUEST_HEAD_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time in which a caller must have sent the body of its request.
+/// Limit on the time to receive the body of a request.
 const REQUEST_BODY_TIMEOUT: Duration = Duration::from_secs(30);
-/// Time for which an idle connection is kept.
+/// Time after which an idle connection is closed.
 const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_mins(1);
-/// Most bytes of a request's head.
+/// Maximum size of a request's head, in bytes.
 const MAX_HEAD_BYTES: usize = 64 << 10;
-/// Most headers of a request.
+/// Maximum number of headers of a request.
 const MAX_HEADERS: usize = 100;
 
-/// A request, whole.
+/// A buffered request.
 #[derive(Clone, Debug)]
 pub struct WebRequest {
     /// Method.
@@ -44,7 +44,7 @@
     pub body: Bytes,
 }
 
-/// An answer, whole.
+/// A buffered answer.
 #[derive(Clone, Debug)]
 pub struct WebAnswer {
     /// Status.
@@ -55,21 +55,21 @@
     pub body: Bytes,
 }
 
-/// What answers the requests of one server.
+/// The request handler of one server.
 pub trait Handler: Send + Sync + 'static {
-    /// Most bytes of a request's body.
+    /// Maximum size of a request's body, in bytes.
     const MAX_BODY_BYTES: usize;
 
     /// Answers a request.
     fn answer(&self, request: WebRequest) -> impl Future<Output = WebAnswer>;
 
-    /// Answers a request that could not be read.
+    /// Answers a request whose headers or body could not be read, with the status and the reason of the error.
     fn reject_unreadable(&self, status: StatusCode, reason: &str) -> WebAnswer;
 }
 
 /// A running server.
 pub struct WebServer {
-    /// Ends the server; the argument says whether connections are waited for.
+    /// Stops the server; the argument is whether to wait for open connections.
     stop: Box<dyn Fn(bool) + Send + Sync>,
     server_task: JoinHandle<()>,
 }
@@ -79,7 +79,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when the system refuses the threads or the listener.
+    /// Fails when the listener cannot be used or the worker thread cannot be started.
     pub fn start<H: Handler>(listener: TcpListener, handler: H) -> io::Result<Self> {
         listener.set_nonblocking(true)?;
         let mut server = App::new()
@@ -102,7 +102,8 @@
         Ok(Self { stop: Box::new(move |graceful| handle.stop(graceful)), server_task })
     }
 
-    /// Ends the server; answers that are being written may be cut off, so it is stopped only when none is owed.
+    /// Stops the server without waiting for open connections, which cuts off answers that are still being written: call
+    /// this only when no request is open.
     pub async fn stop(self) {
         (self.stop)(false);
         let _ = self.server_task.await;
--- a/crates/adapters/src/wire.rs
+++ b/crates/adapters/src/wire.rs
@@ -1,35 +1,36 @@
-//! Forwarded packets on the wire: a version byte, the head in `postcard`, and the caller's payload as it came.
+//! The encoding of forwarded packets: a version byte, the header in `postcard` and the unchanged payload.
 
 use thiserror::Error;
 
 use hawthornshift_core::message::ForwardedPacketHeader;
 
-/// Version of the format; a receiver drops others, so that a rolling upgrade never misreads a packet.
+/// Version of the format; a receiver drops packets of other versions, so that no packet is misread during a rolling
+/// upgrade.
 const FORMAT_VERSION: u8 = 1;
-/// Most bytes that a version byte and a head take.
+/// Maximum size of the version byte and the header, in bytes.
 pub const MAX_HEADER_BYTES: usize = 64;
-/// Most bytes of a UDP payload over IPv4.
+/// Maximum size of a UDP payload over IPv4, in bytes.
 pub const MAX_DATAGRAM_BYTES: usize = 65_507;
 
-/// A packet that could not be written or read.
+/// Error of encoding or decoding a packet.
 #[derive(Debug, Error, Eq, PartialEq)]
 pub enum WireError {
-    /// It is empty or of another version.
-    #[error("not of version {FORMAT_VERSION}")]
+    /// The packet is empty or has another format version.
+    #[error("not of format version {FORMAT_VERSION}")]
     Version,
-    /// Its head is cut short or damaged.
-    #[error("the head cannot be read")]
+    /// The header is truncated or invalid.
+    #[error("invalid packet header")]
     Header,
-    /// With a head it would be larger than a datagram can be.
-    #[error("{0} bytes are too many to forward")]
+    /// The packet with its header exceeds [`MAX_DATAGRAM_BYTES`]; the field is its size in bytes.
+    #[error("packet of {0} bytes exceeds the maximum datagram size")]
     TooLarge(usize),
 }
 
-/// Writes a packet into `buf`, whose former content is dropped.
+/// Encodes a packet into `buf` and replaces its previous content.
 ///
 /// # Errors
 ///
-/// Fails when the payload is so large that the head no longer fits.
+/// Fails when the packet with its header exceeds [`MAX_DATAGRAM_BYTES`].
 pub fn encode(header: &ForwardedPacketHeader, payload: &[u8], buf: &mut Vec<u8>) -> Result<(), WireError> {
     buf.clear();
     buf.push(FORMAT_VERSION);
@@ -39,11 +40,11 @@
     if buf.len() > MAX_DATAGRAM_BYTES { Err(WireError::TooLarge(buf.len())) } else { Ok(()) }
 }
 
-/// Reads a packet into its head and payload.
+/// Decodes a packet into its header and payload.
 ///
 /// # Errors
 ///
-/// Fails on anything that [`encode`] has not written.
+/// Fails when the packet is empty, has another format version or has a truncated or invalid header.
 pub fn decode(packet: &[u8]) -> Result<(ForwardedPacketHeader, &[u8]), WireError> {
     let (version, rest) = packet.split_first().ok_or(WireError::Version)?;
     if *version != FORMAT_VERSION {
--- a/crates/adapters/tests/wire.rs
+++ b/crates/adapters/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Forwarded packets on the wire, whole and damaged.
+//! Encoding and decoding of forwarded packets, valid and damaged.
 
 use std::net::SocketAddr;
 
@@ -21,6 +21,9 @@
 proptest! {
     #![proptest_config(Config { cases: 2_000, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(1), ..Config::default() })]
 
+    /// A header that changes between encoder and decoder would send a packet to the wrong caller or service, and a
+    /// changed payload is data corruption. A header longer than `MAX_HEADER_BYTES` would make the sender reallocate its
+    /// buffer for each packet.
     #[test]
     fn encode_and_decode_round_trip(
         service: u64,
@@ -39,8 +42,8 @@
         prop_assert_eq!(decoded_payload, &payload[..]);
     }
 
-    /// A stranger or a broken network delivers bytes that no instance has written. The receiver drops them; it must
-    /// not panic or read past them.
+    /// A foreign sender or a faulty network delivers bytes that no instance has encoded. The receiver must not panic or
+    /// read out of bounds.
     #[test]
     fn decode_of_arbitrary_bytes_stays_within_bounds(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         if let Ok((_, payload)) = wire::decode(&bytes) {
@@ -49,6 +52,7 @@
     }
 }
 
+/// A payload of the maximum UDP size leaves no room for the header; the encoder must report this before the send.
 #[test]
 fn encode_rejects_a_packet_larger_than_a_datagram() {
     let header = header(1, "10.0.0.1:5".parse().unwrap(), 3, 0);
