--- a/crates/adapters/src/engine.rs
+++ b/crates/adapters/src/engine.rs
@@ -275,7 +275,7 @@
     }
 
     /// Reports to the core that the caller of a request has disconnected.
-    pub(crate) fn abandon_request(self: &Arc<Self>, request: RequestId) {
+    pub(crate) fn caller_gone(self: &Arc<Self>, request: RequestId) {
         self.handle_input(Input::CallerGone { request });
     }
 
--- a/crates/adapters/src/metrics.rs
+++ b/crates/adapters/src/metrics.rs
@@ -39,10 +39,10 @@
         let name: &'static str = breach.invariant.into();
         counter!("hawthornshift_invariant_breaches_total", "invariant" => name).absolute(breach.count);
     }
-    for kept in &dump.kept {
-        let name = kept.name.clone();
-        gauge!("hawthornshift_target_running", "target" => name.clone()).set(f64::from(kept.running));
-        gauge!("hawthornshift_target_limit", "target" => name).set(f64::from(kept.limit));
+    for target in &dump.kept {
+        let name = target.name.clone();
+        gauge!("hawthornshift_target_running", "target" => name.clone()).set(f64::from(target.running));
+        gauge!("hawthornshift_target_limit", "target" => name).set(f64::from(target.limit));
     }
 }
 
--- a/crates/adapters/src/requests.rs
+++ b/crates/adapters/src/requests.rs
@@ -63,7 +63,7 @@
 impl Drop for CallerGuard {
     fn drop(&mut self) {
         if !self.answered {
-            self.engine.abandon_request(self.request);
+            self.engine.caller_gone(self.request);
         }
     }
 }
