--- a/crates/adapters/tests/wire.rs
+++ b/crates/adapters/tests/wire.rs
@@ -42,8 +42,8 @@
         prop_assert_eq!(decoded_payload, &payload[..]);
     }
 
-    /// A foreign sender or a faulty network delivers bytes that no instance has encoded. The receiver must not panic or
-    /// read out of bounds.
+    /// A foreign sender or a faulty network delivers bytes that no instance has encoded. The receiver drops them;
+    /// it must not panic or read out of bounds.
     #[test]
     fn decode_of_arbitrary_bytes_stays_within_bounds(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         if let Ok((_, payload)) = wire::decode(&bytes) {
