--- a/crates/adapters/src/engine.rs
+++ b/crates/adapters/src/engine.rs
@@ -1,8 +1,9 @@
-//! Feeds inputs to the core and carries out its outputs.
+//! The driver of the core: passes inputs to the state machine and performs its outputs.
 //!
-//! The core sits behind one lock. Packets, which are many, hold it only for the decision; everything else is carried
-//! out while it is held, so that a cancellation never overtakes the start it cancels. Carrying out never waits: it
-//! sends on non-blocking sockets and spawns tasks.
+//! One lock guards the core. For a packet, which is the most frequent input, the lock covers only the decision; the
+//! packet is sent after the lock is released. All other outputs are performed under the lock, so that a cancellation
+//! never overtakes the start that it cancels. Performing an output never blocks: it sends on non-blocking sockets and
+//! channels, and spawns tasks.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -31,7 +32,7 @@
 use crate::payload::Answer;
 use crate::payload::Request;
 use crate::peers::PeerClients;
-use crate::streams::Order;
+use crate::streams::StreamCommand;
 use hawthornshift_core::Input;
 use hawthornshift_core::Node;
 use hawthornshift_core::Output;
@@ -45,52 +46,53 @@
 use hawthornshift_core::message::Envelope;
 use hawthornshift_model::InstanceId;
 
-/// How a request ended, with the answer if there is one.
+/// The result of a request, with the answer if there is one.
 #[derive(Debug)]
-pub struct Ending {
-    /// What the core said.
+pub struct RequestOutcome {
+    /// The reply of the core.
     pub reply: Reply,
-    /// The answer it named.
+    /// The answer that the reply refers to; `None` if the request was refused or the answer is no longer stored.
     pub answer: Option<Arc<Answer>>,
 }
 
-/// A request that the core has a part in.
-struct Pending {
+/// A request that the core has not replied to yet.
+struct PendingRequest {
     request: Arc<Request>,
-    done: oneshot::Sender<Ending>,
-    /// The task that tries it at a target or instance now.
-    attempt: Option<AbortHandle>,
+    outcome_sender: oneshot::Sender<RequestOutcome>,
+    /// Handle of the task that currently sends the request to a target or another instance.
+    abort_handle: Option<AbortHandle>,
 }
 
-/// Numbers handed out by one engine.
+/// Next ids to assign; they are unique within one engine.
 #[derive(Debug, Default)]
-struct Counters {
+struct NextIds {
     requests: AtomicU64,
     answers: AtomicU64,
     streams: AtomicU64,
 }
 
-/// One instance's core with everything that it acts through.
+/// The core of one instance with the sockets, clients and tasks that it drives.
 pub struct Engine {
     pub(crate) config: Config,
     pub(crate) runtime: Handle,
-    pub(crate) stop: CancellationToken,
+    pub(crate) shutdown: CancellationToken,
     pub(crate) log: Logger,
     pub(crate) datagrams: Datagrams,
     pub(crate) peers: PeerClients,
-    /// Signalled when the set in force has changed.
+    /// Signalled when the active configuration set has changed.
     pub(crate) catalog_changed: Notify,
-    /// Signalled when a planned stop is done or a newer life exists.
+    /// Cancelled when a planned stop is complete, or when a newer process uses this instance's id.
     pub(crate) finished: CancellationToken,
     epoch: Instant,
     node: Mutex<Node>,
-    counters: Counters,
-    pending: Mutex<HashMap<RequestId, Pending>>,
+    next_ids: NextIds,
+    pending: Mutex<HashMap<RequestId, PendingRequest>>,
     answers: Mutex<HashMap<AnswerId, Arc<Answer>>>,
-    streams: RwLock<HashMap<StreamId, UnboundedSender<Order>>>,
+    streams: RwLock<HashMap<StreamId, UnboundedSender<StreamCommand>>>,
 }
 
-/// Takes a lock; a panic of another holder leaves data that every decision checks anyway.
+/// Locks a mutex and ignores poisoning: every decision validates the data that it reads, so the data is usable after a
+/// panic of another holder.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
@@ -100,7 +102,7 @@
         let log = config.logger.new(slog::o!("instance" => config.id));
         Arc::new(Self {
             runtime: Handle::current(),
-            stop: CancellationToken::new(),
+            shutdown: CancellationToken::new(),
             log,
             datagrams,
             peers: PeerClients::default(),
@@ -108,7 +110,7 @@
             finished: CancellationToken::new(),
             epoch: Instant::now(),
             node: Mutex::new(make_node(Timestamp::ZERO)),
-            counters: Counters::default(),
+            next_ids: NextIds::default(),
             pending: Mutex::default(),
             answers: Mutex::default(),
             streams: RwLock::default(),
@@ -116,58 +118,60 @@
         })
     }
 
-    /// Returns the present time on the clock that the core is fed with.
+    /// Returns the time since the engine was created, which is the clock of the core.
     pub fn now(&self) -> Timestamp {
         self.epoch.elapsed()
     }
 
-    /// Gives read access to the core.
+    /// Calls `read` with the core, under its lock.
     pub fn with_node<T>(&self, read: impl FnOnce(&Node) -> T) -> T {
         read(&lock(&self.node))
     }
 
-    /// Feeds an input and carries out what follows.
-    pub fn feed(self: &Arc<Self>, input: Input) {
-        self.feed_from(input, None);
+    /// Passes an input to the core and performs its outputs.
+    pub fn handle_input(self: &Arc<Self>, input: Input) {
+        self.handle_peer_message(input, None);
     }
 
-    /// Feeds an input and carries out what follows, but returns the messages that are for `sender`: they travel as
-    /// the answer to its own message.
-    pub fn feed_from(self: &Arc<Self>, input: Input, sender: Option<InstanceId>) -> Vec<Envelope> {
+    /// Passes an input to the core and performs its outputs, except messages addressed to `sender`: they are returned,
+    /// and the caller sends them as the response to the message of `sender`.
+    pub fn handle_peer_message(self: &Arc<Self>, input: Input, sender: Option<InstanceId>) -> Vec<Envelope> {
         let mut out = Vec::new();
-        let mut back = Vec::new();
+        let mut replies = Vec::new();
         let mut node = lock(&self.node);
-        // Read under the lock, so that the core never sees time run backwards.
+        // Read under the lock, so that the times passed to the core never decrease.
         let now = self.now();
         node.handle(now, input, &mut out);
         for output in out {
             match output {
-                Output::ToPeer { envelope, .. } if Some(envelope.to) == sender => back.push(*envelope),
-                output => self.carry_out(output),
+                Output::ToPeer { envelope, .. } if Some(envelope.to) == sender => replies.push(*envelope),
+                output => self.perform_output(output),
             }
         }
         drop(node);
-        back
+        replies
     }
 
-    /// Feeds a packet and returns what becomes of it.
-    pub fn feed_packet(self: &Arc<Self>, input: Input) -> Option<PacketAction> {
+    /// Passes a packet to the core and returns the action for it, if the core decided on one.
+    ///
+    /// The lock is released before the caller performs the action.
+    pub fn handle_packet(self: &Arc<Self>, input: Input) -> Option<PacketAction> {
         let mut out = Vec::with_capacity(1);
         let mut node = lock(&self.node);
         let now = self.now();
         node.handle(now, input, &mut out);
-        let mut fate = None;
+        let mut action = None;
         for output in out {
             match output {
-                Output::Packet(decided) => fate = Some(decided),
-                output => self.carry_out(output),
+                Output::Packet(decided) => action = Some(decided),
+                output => self.perform_output(output),
             }
         }
         drop(node);
-        fate
+        action
     }
 
-    fn carry_out(self: &Arc<Self>, output: Output) {
+    fn perform_output(self: &Arc<Self>, output: Output) {
         match output {
             Output::Packet(_) => {}
             Output::ToPeer { address, envelope } => self.send_to_peer(address, *envelope),
@@ -177,16 +181,16 @@
             }
             Output::Probe { target, address } => {
                 let engine = Arc::clone(self);
-                self.spawn(async move { engine.probe(target, address).await });
+                self.spawn(async move { engine.check_health(target, address).await });
             }
             Output::ForwardRequest { request, to, address, head } => {
                 let engine = Arc::clone(self);
-                self.attempt(request, |whole| async move { engine.pass(request, to, address, head, whole).await });
+                self.spawn_attempt(request, |msg| async move { engine.forward(request, to, address, head, msg).await });
             }
             Output::Execute { request, attempt, address, time_left } => {
                 let engine = Arc::clone(self);
-                self.attempt(request, |whole| async move {
-                    engine.execute(request, attempt, address, time_left, whole).await;
+                self.spawn_attempt(request, |msg| async move {
+                    engine.execute(request, attempt, address, time_left, msg).await;
                 });
             }
             Output::Cancel { request } => self.cancel(request),
@@ -194,12 +198,12 @@
             Output::ReleaseAnswer { answer } => {
                 lock(&self.answers).remove(&answer);
             }
-            Output::ConnectStream { stream, address } => self.order(stream, Order::Connect(address)),
-            Output::CloseStream { stream } => self.order(stream, Order::Close),
+            Output::ConnectStream { stream, address } => self.send_command(stream, StreamCommand::Connect(address)),
+            Output::CloseStream { stream } => self.send_command(stream, StreamCommand::Close),
             Output::CatalogChanged => self.catalog_changed.notify_one(),
             Output::Stopped => self.finished.cancel(),
             Output::Superseded => {
-                warn!(self.log, "a newer process lives under this instance's id");
+                warn!(self.log, "superseded by a newer process with this instance's id");
                 self.finished.cancel();
             }
             Output::Notice(notice) => {
@@ -209,12 +213,12 @@
         }
     }
 
-    /// Runs a task until it ends or the instance does.
+    /// Spawns a task that is dropped when the instance shuts down.
     pub(crate) fn spawn(&self, task: impl Future<Output = ()> + Send + 'static) -> AbortHandle {
-        let stop = self.stop.clone();
+        let shutdown = self.shutdown.clone();
         let task = self.runtime.spawn(async move {
             tokio::select! {
-                () = stop.cancelled() => {}
+                () = shutdown.cancelled() => {}
                 () = task => {}
             }
         });
@@ -226,8 +230,10 @@
         self.spawn(async move { engine.exchange(address, envelope).await });
     }
 
-    /// Starts the task that tries a request somewhere.
-    fn attempt<F, T>(&self, request: RequestId, task: F)
+    /// Spawns a task that sends a request to a target or another instance, and stores its abort handle.
+    ///
+    /// Does nothing when the request is no longer pending.
+    fn spawn_attempt<F, T>(&self, request: RequestId, task: F)
     where
         F: FnOnce(Arc<Request>) -> T,
         T: Future<Output = ()> + Send + 'static,
@@ -235,12 +241,12 @@
         let mut pending = lock(&self.pending);
         let Some(entry) = pending.get_mut(&request) else { return };
         let handle = self.spawn(task(Arc::clone(&entry.request)));
-        entry.attempt = Some(handle);
+        entry.abort_handle = Some(handle);
     }
 
     fn cancel(&self, request: RequestId) {
-        if let Some(attempt) = lock(&self.pending).get_mut(&request).and_then(|entry| entry.attempt.take()) {
-            attempt.abort();
+        if let Some(abort_handle) = lock(&self.pending).get_mut(&request).and_then(|entry| entry.abort_handle.take()) {
+            abort_handle.abort();
         }
     }
 
@@ -250,68 +256,68 @@
             Reply::Answer { answer, .. } => lock(&self.answers).get(answer).cloned(),
             Reply::Refuse { .. } => None,
         };
-        // Nobody waits any more when the caller has gone.
-        let _ = entry.done.send(Ending { reply, answer });
+        // The receiver is dropped when the caller has disconnected.
+        let _ = entry.outcome_sender.send(RequestOutcome { reply, answer });
     }
 
-    /// Takes a request in; what comes of it arrives on the returned channel.
-    pub(crate) fn admit(
+    /// Registers a request and passes it to the core; the returned channel receives its outcome.
+    pub(crate) fn submit_request(
         self: &Arc<Self>,
         request: Request,
         input: impl FnOnce(RequestId) -> Input,
-    ) -> (RequestId, oneshot::Receiver<Ending>) {
-        let id = self.counters.requests.fetch_add(1, Ordering::Relaxed);
-        let (done, ending) = oneshot::channel();
-        let entry = Pending { request: Arc::new(request), done, attempt: None };
+    ) -> (RequestId, oneshot::Receiver<RequestOutcome>) {
+        let id = self.next_ids.requests.fetch_add(1, Ordering::Relaxed);
+        let (outcome_sender, outcome) = oneshot::channel();
+        let entry = PendingRequest { request: Arc::new(request), outcome_sender, abort_handle: None };
         lock(&self.pending).insert(id, entry);
-        self.feed(input(id));
-        (id, ending)
+        self.handle_input(input(id));
+        (id, outcome)
     }
 
-    /// Notes that nobody waits for a request any more.
-    pub(crate) fn abandon(self: &Arc<Self>, request: RequestId) {
-        self.feed(Input::CallerGone { request });
+    /// Reports to the core that the caller of a request has disconnected.
+    pub(crate) fn caller_gone(self: &Arc<Self>, request: RequestId) {
+        self.handle_input(Input::CallerGone { request });
     }
 
-    /// Keeps an answer until the core says that it can be forgotten.
-    pub(crate) fn keep_answer(&self, answer: Answer) -> StoredAnswer {
-        let id = self.counters.answers.fetch_add(1, Ordering::Relaxed);
-        let size = answer.size();
+    /// Stores an answer until the core releases it with [`Output::ReleaseAnswer`].
+    pub(crate) fn store_answer(&self, answer: Answer) -> StoredAnswer {
+        let id = self.next_ids.answers.fetch_add(1, Ordering::Relaxed);
+        let size = answer.approximate_bytes();
         lock(&self.answers).insert(id, Arc::new(answer));
         StoredAnswer { id, size }
     }
 
-    /// Registers a stream whose task takes orders from the core.
-    pub(crate) fn register_stream(&self, orders: UnboundedSender<Order>) -> StreamId {
-        let id = self.counters.streams.fetch_add(1, Ordering::Relaxed);
-        self.streams.write().unwrap_or_else(PoisonError::into_inner).insert(id, orders);
+    /// Registers a stream, whose task receives the core's commands through `commands`.
+    pub(crate) fn add_stream(&self, commands: UnboundedSender<StreamCommand>) -> StreamId {
+        let id = self.next_ids.streams.fetch_add(1, Ordering::Relaxed);
+        self.streams.write().unwrap_or_else(PoisonError::into_inner).insert(id, commands);
         id
     }
 
-    /// Forgets a stream.
-    pub(crate) fn forget_stream(self: &Arc<Self>, stream: StreamId) {
+    /// Removes a stream and reports its end to the core.
+    pub(crate) fn remove_stream(self: &Arc<Self>, stream: StreamId) {
         self.streams.write().unwrap_or_else(PoisonError::into_inner).remove(&stream);
-        self.feed(Input::StreamClosed { stream });
+        self.handle_input(Input::StreamClosed { stream });
     }
 
-    fn order(&self, stream: StreamId, order: Order) {
+    fn send_command(&self, stream: StreamId, command: StreamCommand) {
         let streams = self.streams.read().unwrap_or_else(PoisonError::into_inner);
-        if let Some(orders) = streams.get(&stream) {
-            // A stream that has just ended takes no more orders.
-            let _ = orders.send(order);
+        if let Some(commands) = streams.get(&stream) {
+            // The receiver is dropped when the stream has just ended.
+            let _ = commands.send(command);
         }
     }
 
-    /// Feeds ticks until the instance ends.
+    /// Passes a tick to the core every [`TICK_PERIOD`](hawthornshift_core::node::TICK_PERIOD) until shutdown.
     pub(crate) async fn tick(self: Arc<Self>) {
         let mut interval = tokio::time::interval(hawthornshift_core::node::TICK_PERIOD);
         interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             interval.tick().await;
-            self.feed(Input::Tick);
+            self.handle_input(Input::Tick);
         }
     }
 }
 
-/// Time that a connection to a target or peer may take to come about.
+/// Limit on the time to establish a connection to a target or peer.
 pub(crate) const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
--- a/crates/adapters/src/execute.rs
+++ b/crates/adapters/src/execute.rs
@@ -1,4 +1,4 @@
-//! One try of a request at a target.
+//! A single attempt of a request at a target.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -27,44 +27,49 @@
 use hawthornshift_model::Verdict;
 
 impl Engine {
-    /// Sends a request to a target and feeds how it ended. Dropping the task closes the connection, which is how a
-    /// target learns that the request is cancelled.
+    /// Sends a request to a target and passes the outcome to the core. Aborting the task closes the connection, which
+    /// signals to the target that the request is cancelled.
     pub(crate) async fn execute(
         self: Arc<Self>,
         request: RequestId,
         number: AttemptNumber,
         address: SocketAddr,
         time_left: Duration,
-        whole: Arc<Request>,
+        http_request: Arc<Request>,
     ) {
         let attempt = Attempt::new(request, number);
-        let input = self.try_target(attempt, address, time_left, &whole).await;
-        self.feed(input);
+        let input = self.run_attempt(attempt, address, time_left, &http_request).await;
+        self.handle_input(input);
     }
 
-    async fn try_target(
+    async fn run_attempt(
         &self,
         attempt: Attempt<Unsent>,
         address: SocketAddr,
         time_left: Duration,
-        whole: &Request,
+        http_request: &Request,
     ) -> Input {
-        let mut headers = whole.headers();
+        let mut headers = http_request.headers();
         let millis = u64::try_from(time_left.as_millis()).unwrap_or(u64::MAX);
         headers.insert(TIMEOUT_HEADER, HeaderValue::from(millis));
-        let Ok(message) = http_client::build(address, whole.method(), whole.path(), headers, whole.body().clone())
-        else {
+        let Ok(outgoing) = http_client::build(
+            address,
+            http_request.method(),
+            http_request.path(),
+            headers,
+            http_request.body().clone(),
+        ) else {
             return attempt.fail(Reason::RefusedByTarget);
         };
         let Ok(Ok(mut sender)) = timeout(CONNECT_TIMEOUT, http_client::connect(address)).await else {
             return attempt.fail(Reason::ConnectionBroken);
         };
         let attempt = attempt.send();
-        match http_client::exchange(&mut sender, message, MAX_BODY_BYTES).await {
+        match http_client::exchange(&mut sender, outgoing, MAX_BODY_BYTES).await {
             Ok(response) if refused_before_running(&response) => attempt.refused_by_target(),
             Ok(response) => {
                 let answer = Answer::new(response.status, &response.headers, response.body);
-                attempt.answered(self.keep_answer(answer))
+                attempt.answered(self.store_answer(answer))
             }
             Err(ExchangeError::Incomplete(_)) => attempt.fail(Reason::AnswerIncomplete),
             Err(_) => attempt.fail(Reason::ConnectionBroken),
@@ -72,8 +77,8 @@
     }
 }
 
-/// Tells whether a target has said that it refused a request before running it. A bare 503 does not say that: it is
-/// an answer like any other.
+/// Returns whether a target reports that it refused a request before running it: status 503 with the verdict `not-run`.
+/// A 503 without this verdict is an ordinary answer.
 fn refused_before_running(response: &Response) -> bool {
     let verdict = response.headers.get(VERDICT_HEADER).and_then(|value| value.to_str().ok());
     response.status == StatusCode::SERVICE_UNAVAILABLE && verdict == Some(Verdict::NotRun.into())
--- a/crates/adapters/src/peers.rs
+++ b/crates/adapters/src/peers.rs
@@ -1,7 +1,7 @@
-//! Messages and passed requests between instances, over JSON-RPC.
+//! Messages and forwarded requests between instances, over JSON-RPC.
 //!
-//! A message is a call of `exchange`; what the receiver has to say to the sender at once comes back as its result. A
-//! passed request is a call of `pass`, which lasts until the request has ended.
+//! A message is a call of the method `exchange`; the messages that the receiver returns to the sender are its result.
+//! A forwarded request is a call of the method `pass`, which returns when the request has ended.
 
 use std::collections::HashMap;
 use std::error::Error as StdError;
@@ -39,59 +39,59 @@
 use hawthornshift_model::InstanceId;
 use hawthornshift_model::Verdict;
 
-/// Longest time a message may take; it is shorter than a period of heartbeats needs to be noticed.
+/// Timeout of a message; it is shorter than the time that a missing heartbeat takes to be detected.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Longest time a passed request may take; its own deadline ends it long before.
-const PASS_TIMEOUT: Duration = Duration::from_hours(24);
-/// Time between two tries to reach the peers named in the settings.
-const GREETING_PERIOD: Duration = Duration::from_secs(1);
-/// Most bytes of one call: a body in base64 with its headers.
+/// Timeout of a forwarded request; the deadline of the request itself normally ends the call much earlier.
+const FORWARD_TIMEOUT: Duration = Duration::from_hours(24);
+/// Time between two attempts to reach the configured peers.
+const DISCOVERY_RETRY_PERIOD: Duration = Duration::from_secs(1);
+/// Maximum size of a call and of its result, in bytes: a body in base64 with its headers.
 const MAX_CALL_BYTES: u32 = 4 << 20;
-/// Most connections of peers at once.
+/// Maximum number of concurrent connections from peers.
 const MAX_CONNECTIONS: u32 = 4_096;
 
-/// A request passed to another instance.
+/// Parameters of `pass`: a request forwarded to another instance.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct PassCall {
+pub struct ForwardRequestCall {
     from: InstanceId,
     to: InstanceId,
     head: ForwardedRequestHeader,
     request: Request,
 }
 
-/// How a passed request ended.
+/// Result of `pass`: the outcome of a forwarded request and the receiver's free slots, if it reports them.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct PassResult {
-    outcome: PassOutcome,
+pub struct ForwardRequestResult {
+    outcome: ForwardRequestOutcome,
     free: Option<u32>,
 }
 
-/// With an answer or without.
+/// Outcome of a forwarded request.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
-pub enum PassOutcome {
+pub enum ForwardRequestOutcome {
     /// The target's answer.
     Answered(Answer),
-    /// Why there is none.
+    /// The verdict and the reason why there is no answer.
     Refused(Refusal),
 }
 
-/// What instances call on each other.
+/// The RPC methods that instances call on each other.
 #[rpc(server, client, namespace = "peer")]
 pub trait Peer {
-    /// Says who the receiver is.
+    /// Returns the receiver's own membership entry.
     #[method(name = "introduce")]
     async fn introduce(&self) -> RpcResult<MemberUpdate>;
 
-    /// Delivers a message; returns what the receiver says to the sender at once.
+    /// Delivers a message; returns the messages that the receiver sends back immediately.
     #[method(name = "exchange")]
     async fn exchange(&self, envelope: Envelope) -> RpcResult<Vec<Envelope>>;
 
-    /// Passes a request; returns when it has ended.
+    /// Forwards a request; returns when it has ended.
     #[method(name = "pass")]
-    async fn pass(&self, call: PassCall) -> RpcResult<PassResult>;
+    async fn forward_request(&self, call: ForwardRequestCall) -> RpcResult<ForwardRequestResult>;
 }
 
 struct PeerService {
@@ -106,32 +106,37 @@
 
     async fn exchange(&self, envelope: Envelope) -> RpcResult<Vec<Envelope>> {
         let sender = envelope.sender.id;
-        Ok(self.engine.feed_from(Input::PeerMessage(Box::new(envelope)), Some(sender)))
+        Ok(self.engine.handle_peer_message(Input::PeerMessage(Box::new(envelope)), Some(sender)))
     }
 
-    async fn pass(&self, call: PassCall) -> RpcResult<PassResult> {
-        let refused =
-            |verdict, reason| PassResult { outcome: PassOutcome::Refused(Refusal { verdict, reason }), free: None };
+    async fn forward_request(&self, call: ForwardRequestCall) -> RpcResult<ForwardRequestResult> {
+        let refused = |verdict, reason| ForwardRequestResult {
+            outcome: ForwardRequestOutcome::Refused(Refusal { verdict, reason }),
+            free: None,
+        };
         if call.to != self.engine.config.id {
-            // Another instance lives here now. It has run nothing of this request.
+            // This address now belongs to another instance, which has run no part of the request.
             return Ok(refused(Verdict::NotRun, Reason::ConnectionBroken));
         }
-        let PassCall { from, head, request, .. } = call;
-        let (_, ending) = self.engine.admit(request, |request| Input::ForwardedRequestArrived { request, from, head });
-        let Ok(ending) = ending.await else {
+        let ForwardRequestCall { from, head, request, .. } = call;
+        let (_, outcome) =
+            self.engine.submit_request(request, |request| Input::ForwardedRequestArrived { request, from, head });
+        let Ok(outcome) = outcome.await else {
             return Ok(refused(Verdict::MayHaveRun, Reason::Stopping));
         };
-        Ok(match (ending.reply, ending.answer) {
+        Ok(match (outcome.reply, outcome.answer) {
             (Reply::Answer { free, .. }, Some(answer)) => {
-                PassResult { outcome: PassOutcome::Answered(answer.as_ref().clone()), free }
+                ForwardRequestResult { outcome: ForwardRequestOutcome::Answered(answer.as_ref().clone()), free }
             }
             (Reply::Answer { .. }, None) => refused(Verdict::MayHaveRun, Reason::AnswerGone),
-            (Reply::Refuse { refusal, free, .. }, _) => PassResult { outcome: PassOutcome::Refused(refusal), free },
+            (Reply::Refuse { refusal, free, .. }, _) => {
+                ForwardRequestResult { outcome: ForwardRequestOutcome::Refused(refusal), free }
+            }
         })
     }
 }
 
-/// Starts to answer peers on a listener.
+/// Starts the RPC server for peers on a listener.
 pub(crate) fn serve(engine: Arc<Engine>, listener: TcpListener) -> std::io::Result<ServerHandle> {
     let config = ServerConfig::builder()
         .http_only()
@@ -144,7 +149,7 @@
     Ok(server.start(PeerService { engine }.into_rpc()))
 }
 
-/// Clients of other instances, made when they are first called.
+/// RPC clients of other instances, created on the first call to each address and timeout.
 #[derive(Debug, Default)]
 pub struct PeerClients {
     clients: Mutex<HashMap<(SocketAddr, Duration), HttpClient>>,
@@ -169,77 +174,78 @@
 }
 
 impl Engine {
-    /// Sends a message and feeds what comes back.
+    /// Sends a message and passes the returned messages to the core, or reports the receiver as unreachable.
     pub(crate) async fn exchange(self: Arc<Self>, address: SocketAddr, envelope: Envelope) {
         let to = envelope.to;
-        let answers = match self.peers.get(address, EXCHANGE_TIMEOUT) {
+        let replies = match self.peers.get(address, EXCHANGE_TIMEOUT) {
             Ok(client) => PeerClient::exchange(&client, envelope).await,
             Err(error) => Err(error),
         };
-        match answers {
-            Ok(answers) => {
-                for answer in answers {
-                    self.feed(Input::PeerMessage(Box::new(answer)));
+        match replies {
+            Ok(replies) => {
+                for answer in replies {
+                    self.handle_input(Input::PeerMessage(Box::new(answer)));
                 }
             }
-            Err(_) => self.feed(Input::PeerUnreachable { to }),
+            Err(_) => self.handle_input(Input::PeerUnreachable { to }),
         }
     }
 
-    /// Asks the peers named in the settings who they are, until each has said so.
+    /// Requests the membership entry of each configured peer until all have responded.
     ///
-    /// It is how an instance finds the others while the platform cannot be reached.
-    pub(crate) async fn greet_peers(self: Arc<Self>) {
+    /// This lets an instance discover the others while the platform is unreachable.
+    pub(crate) async fn discover_peers(self: Arc<Self>) {
         let mut unknown = self.config.peers.clone();
         unknown.retain(|address| *address != self.config.control);
         while !unknown.is_empty() {
-            let mut silent = Vec::new();
+            let mut unanswered = Vec::new();
             for address in unknown {
-                match self.introduction(address).await {
-                    Ok(update) => self.feed(Input::PeerIntroduced(Box::new(update))),
-                    Err(_) => silent.push(address),
+                match self.fetch_identity(address).await {
+                    Ok(update) => self.handle_input(Input::PeerIntroduced(Box::new(update))),
+                    Err(_) => unanswered.push(address),
                 }
             }
-            unknown = silent;
-            tokio::time::sleep(GREETING_PERIOD).await;
+            unknown = unanswered;
+            tokio::time::sleep(DISCOVERY_RETRY_PERIOD).await;
         }
     }
 
-    async fn introduction(&self, address: SocketAddr) -> Result<MemberUpdate, ClientError> {
+    async fn fetch_identity(&self, address: SocketAddr) -> Result<MemberUpdate, ClientError> {
         let client = self.peers.get(address, EXCHANGE_TIMEOUT)?;
         PeerClient::introduce(&client).await
     }
 
-    /// Passes a request and feeds how it ended.
-    pub(crate) async fn pass(
+    /// Forwards a request to another instance and passes the outcome to the core.
+    pub(crate) async fn forward(
         self: Arc<Self>,
         request: RequestId,
         to: InstanceId,
         address: SocketAddr,
         head: ForwardedRequestHeader,
-        whole: Arc<Request>,
+        http_request: Arc<Request>,
     ) {
-        let call = PassCall { from: self.config.id, to, head, request: whole.as_ref().clone() };
-        let result = match self.peers.get(address, PASS_TIMEOUT) {
-            Ok(client) => PeerClient::pass(&client, call).await,
+        let call = ForwardRequestCall { from: self.config.id, to, head, request: http_request.as_ref().clone() };
+        let result = match self.peers.get(address, FORWARD_TIMEOUT) {
+            Ok(client) => PeerClient::forward_request(&client, call).await,
             Err(error) => Err(error),
         };
         let input = match result {
-            Ok(PassResult { outcome, free }) => {
+            Ok(ForwardRequestResult { outcome, free }) => {
                 let result = match outcome {
-                    PassOutcome::Answered(answer) => Ok(self.keep_answer(answer)),
-                    PassOutcome::Refused(refusal) => Err(refusal),
+                    ForwardRequestOutcome::Answered(answer) => Ok(self.store_answer(answer)),
+                    ForwardRequestOutcome::Refused(refusal) => Err(refusal),
                 };
                 Input::ForwardedRequestEnded { request, result, free }
             }
-            Err(error) => Input::ForwardedRequestFailed { request, verdict: verdict(&error) },
+            Err(error) => Input::ForwardedRequestFailed { request, verdict: verdict_of_call_error(&error) },
         };
-        self.feed(input);
+        self.handle_input(input);
     }
 }
 
-/// Tells from a failed call whether the other instance may have got it.
-fn verdict(error: &ClientError) -> Verdict {
+/// Returns [`Verdict::NotRun`] if a failed call never connected, and [`Verdict::MayHaveRun`] if the receiver may have
+/// received it.
+fn verdict_of_call_error(error: &ClientError) -> Verdict {
     let mut source: Option<&(dyn StdError + 'static)> = match error {
         ClientError::Transport(error) => Some(error.as_ref()),
         _ => None,
@@ -253,5 +259,5 @@
     Verdict::MayHaveRun
 }
 
-/// Whether a body of the largest size, in base64 with room for its headers, fits one call.
+/// Checks that a body of the maximum size fits one call in base64, with 1 MiB left for headers.
 const _: () = assert!(MAX_BODY_BYTES / 3 * 4 + (1 << 20) < MAX_CALL_BYTES as usize);
