--- a/crates/core/src/direct/dispatcher/syn.rs
+++ b/crates/core/src/direct/dispatcher/syn.rs
@@ -66,7 +66,7 @@
             self.forward(target, segment.cookie, Packet::Current, effects);
             return;
         }
-        if self.pending.receive_copy(now, segment, retransmissions) {
+        if self.pending.record_retransmission(now, segment, retransmissions) {
             return;
         }
         let hash = segment.flow.hash64();
--- a/crates/core/src/direct/pending.rs
+++ b/crates/core/src/direct/pending.rs
@@ -162,7 +162,7 @@
     }
 
     /// Records a retransmission of a SYN. Returns whether the flow waits in this queue.
-    pub fn receive_copy(&mut self, now: Timestamp, segment: &Segment, retransmissions: u32) -> bool {
+    pub fn record_retransmission(&mut self, now: Timestamp, segment: &Segment, retransmissions: u32) -> bool {
         let mut all = self.in_time.iter_mut().chain(&mut self.late);
         let pending = all.find(|pending| pending.segment.flow == segment.flow);
         let Some(pending) = pending else { return false };
