--- a/crates/core/src/direct/dispatcher/mod.rs
+++ b/crates/core/src/direct/dispatcher/mod.rs
@@ -107,7 +107,7 @@
     retransmissions: u32,
     packet: &'a [u8],
     /// When the SYN arrived; earlier than now if it was buffered.
-    since: Timestamp,
+    received_at: Timestamp,
 }
 
 /// Configuration of a [`Dispatcher`].
@@ -424,11 +424,11 @@
         self.handle_packet_at(now, now, segment, packet, effects);
     }
 
-    /// Handles a packet that arrived at `since`, which is earlier than `now` if the packet was buffered.
+    /// Handles a packet that arrived at `received_at`, which is earlier than `now` if the packet was buffered.
     fn handle_packet_at(
         &mut self,
         now: Timestamp,
-        since: Timestamp,
+        received_at: Timestamp,
         segment: &Segment,
         packet: &[u8],
         effects: &mut Vec<Effect>,
@@ -445,7 +445,7 @@
         match segment.kind {
             SegmentKind::Syn { retransmissions } => {
                 let route = route.clone();
-                self.handle_syn(now, &Syn { segment, retransmissions, packet, since }, &route, effects);
+                self.handle_syn(now, &Syn { segment, retransmissions, packet, received_at }, &route, effects);
             }
             SegmentKind::Ack | SegmentKind::Fin | SegmentKind::Rst => self.handle_established(now, segment, effects),
         }
--- a/crates/core/src/direct/dispatcher/syn.rs
+++ b/crates/core/src/direct/dispatcher/syn.rs
@@ -47,7 +47,7 @@
     /// A retransmission of a recorded SYN goes to the recorded target, or to another one when the handshake is
     /// overdue. A new SYN is placed, queued or rejected.
     pub(super) fn handle_syn(&mut self, now: Timestamp, syn: &Syn<'_>, route: &Route, effects: &mut Vec<Effect>) {
-        let Syn { segment, retransmissions, packet, since } = *syn;
+        let Syn { segment, retransmissions, packet, received_at } = *syn;
         if let Some(flow) = self.flows.get_mut(&segment.flow).filter(|flow| flow.sequence == segment.sequence) {
             flow.last_seen = now;
             let target = flow.target;
@@ -78,11 +78,11 @@
             return;
         };
         let mut pending =
-            PendingFlow::new(*segment, packet, since, retransmissions, route.latency_objective, route.timeout);
+            PendingFlow::new(*segment, packet, received_at, retransmissions, route.latency_objective, route.timeout);
         pending.priority = route.priority;
         pending.service.clone_from(&share.service);
         if !self.is_enabled(Mechanism::LateLast) {
-            pending.in_time_until = pending.until;
+            pending.in_time_until = pending.deadline;
         }
         // Retransmissions come from a past interruption and do not predict the arrival rate.
         if retransmissions == 0 {
@@ -109,7 +109,7 @@
         }
         let service = &pending.service;
         let Some(slot_release_rate) = self.slot_release_rate(now, service) else { return false };
-        let (in_time, attempt) = (pending.in_time_until.saturating_sub(now), pending.until.saturating_sub(now));
+        let (in_time, attempt) = (pending.in_time_until.saturating_sub(now), pending.deadline.saturating_sub(now));
         let budget = WaitBudget { in_time, attempt };
         let arrivals = self.service_rates.arrivals(now, service);
         admission::admit(budget, self.pending.depth(service), slot_release_rate, arrivals) == Admission::Reject
@@ -147,7 +147,7 @@
         outcome: Outcome,
         effects: &mut Vec<Effect>,
     ) {
-        let took = now.saturating_sub(pending.since);
+        let took = now.saturating_sub(pending.received_at);
         let outcome = if pending.may_be_reset(now) {
             effects.push(Effect::Reset(pending.segment));
             outcome
@@ -243,10 +243,10 @@
         outcome: Outcome,
         effects: &mut Vec<Effect>,
     ) {
-        let PendingFlow { segment, packet, since, tried, .. } = pending;
+        let PendingFlow { segment, packet, received_at, tried, .. } = pending;
         let retransmissions = if let SegmentKind::Syn { retransmissions } = segment.kind { retransmissions } else { 0 };
         let objective = self.directory.route(segment.flow.service).map_or(Duration::MAX, |r| r.latency_objective);
-        let took = now.saturating_sub(since);
+        let took = now.saturating_sub(received_at);
         let decision =
             Decision { copies: retransmissions, took, tried: tried.len(), ..Decision::new(segment.flow, outcome) };
         self.record_decision(Decision { target: Some(target), work: self.open_requests.count(target), ..decision });
@@ -261,7 +261,7 @@
         self.forward(target, segment.cookie, Packet::Buffered(packet.clone()), effects);
         let stage = Stage::Handshake(PendingHandshake { sent: now, packet, tried });
         let (id, sequence) = (segment.flow, segment.sequence);
-        let (first_seen, last_seen, overdue) = (since, now, false);
+        let (first_seen, last_seen, overdue) = (received_at, now, false);
         self.flows.insert(Flow { id, target, sequence, stage, first_seen, last_seen, objective, overdue });
         self.flows.schedule_handshake_timeout(flow, now + self.handshake_timeout.limit());
     }
--- a/crates/core/src/direct/pending.rs
+++ b/crates/core/src/direct/pending.rs
@@ -38,7 +38,7 @@
     /// The packet of the SYN.
     pub packet: Box<[u8]>,
     /// When the SYN was received.
-    pub since: Timestamp,
+    pub received_at: Timestamp,
     /// When the SYN or its latest retransmission was received.
     last_received: Timestamp,
     /// Number of retransmissions that the caller had sent by then.
@@ -48,7 +48,7 @@
     /// Time until which the flow can still be answered within its latency objective.
     pub in_time_until: Timestamp,
     /// Earlier of the end of the caller's attempt and the timeout of the route.
-    pub until: Timestamp,
+    pub deadline: Timestamp,
     /// Priority of the route. Zero is the highest.
     pub priority: u8,
     /// Name of the service.
@@ -58,13 +58,13 @@
 }
 
 impl PendingFlow {
-    /// Creates an entry for a SYN received at `since` after the given number of retransmissions. The caller's latency
-    /// objective and timeout count from its first SYN.
+    /// Creates an entry for a SYN received at `received_at` after the given number of retransmissions. The caller's
+    /// latency objective and timeout count from its first SYN.
     #[must_use]
     pub fn new(
         segment: Segment,
         packet: &[u8],
-        since: Timestamp,
+        received_at: Timestamp,
         retransmissions: u32,
         objective: Duration,
         timeout: Duration,
@@ -74,12 +74,12 @@
         Self {
             segment,
             packet: packet.into(),
-            since,
-            last_received: since,
+            received_at,
+            last_received: received_at,
             retransmissions,
             retransmissions_received: 0,
-            in_time_until: since + objective.saturating_sub(age) / OBJECTIVE_DIVISOR,
-            until: since + timeout.min(ATTEMPT_DURATION).saturating_sub(age),
+            in_time_until: received_at + objective.saturating_sub(age) / OBJECTIVE_DIVISOR,
+            deadline: received_at + timeout.min(ATTEMPT_DURATION).saturating_sub(age),
             priority: u8::MAX,
             service: String::new(),
             tried: Vec::new(),
@@ -110,7 +110,7 @@
     /// are the least likely to be still wanted when they are answered, because many of them are a caller's last
     /// attempt.
     fn rank(&self) -> (u8, Reverse<Timestamp>) {
-        (self.priority, Reverse(self.since))
+        (self.priority, Reverse(self.received_at))
     }
 }
 
@@ -199,14 +199,14 @@
 
     /// Removes and returns one flow whose deadline has passed.
     pub fn pop_due(&mut self, now: Timestamp) -> Option<PendingFlow> {
-        let index = self.iter().position(|pending| pending.until <= now)?;
+        let index = self.iter().position(|pending| pending.deadline <= now)?;
         self.take(index)
     }
 
     /// Returns the next time at which a flow becomes late or its deadline passes.
     #[must_use]
     pub fn next_due(&self) -> Option<Timestamp> {
-        let late = self.in_time.iter().map(|pending| pending.in_time_until.min(pending.until));
-        late.chain(self.late.iter().map(|pending| pending.until)).min()
+        let late = self.in_time.iter().map(|pending| pending.in_time_until.min(pending.deadline));
+        late.chain(self.late.iter().map(|pending| pending.deadline)).min()
     }
 }
