--- a/crates/core/src/direct/dispatcher/established.rs
+++ b/crates/core/src/direct/dispatcher/established.rs
@@ -214,7 +214,7 @@
     fn record_answered(&mut self, now: Timestamp, id: FlowId, target: TargetId, took: Duration) {
         self.record_liveness(now, target);
         let Some(ended) = self.open_requests.finish(now, id.flow_hash()) else {
-            self.open_requests.learn(now, target, took);
+            self.open_requests.record_request_time(now, target, took);
             return;
         };
         self.failures.answered(ended.target);
--- a/crates/core/src/direct/dispatcher/timers.rs
+++ b/crates/core/src/direct/dispatcher/timers.rs
@@ -143,7 +143,7 @@
         }
         let needs_report = self.open_requests.needs_report(now, flow);
         if needs_report || !self.open_requests.is_reported(flow) {
-            self.open_requests.keep(now, flow);
+            self.open_requests.record_still_open(now, flow);
         }
         if needs_report {
             self.report_open(now, flow, target);
--- a/crates/core/src/direct/open_requests.rs
+++ b/crates/core/src/direct/open_requests.rs
@@ -158,7 +158,7 @@
     }
 
     /// Records that a request is still open.
-    pub fn keep(&mut self, now: Timestamp, flow: FlowHash) {
+    pub fn record_still_open(&mut self, now: Timestamp, flow: FlowHash) {
         if let Some(open) = self.flows.get_mut(&flow) {
             open.last_confirmed = now;
         }
@@ -239,7 +239,7 @@
     pub fn finish(&mut self, now: Timestamp, flow: FlowHash) -> Option<EndedRequest> {
         let open = self.remove(flow)?;
         let took = now.saturating_sub(open.since);
-        self.learn(now, open.target, took);
+        self.record_request_time(now, open.target, took);
         if !open.reported {
             let unreported = self.unreported.entry(open.target).or_insert(0);
             *unreported = unreported.saturating_add(1);
@@ -249,7 +249,7 @@
 
     /// Updates the request times with a request whose packets pass through this instance. This includes requests that
     /// were no longer assumed to be open, since the longest ones would otherwise be left out.
-    pub fn learn(&mut self, now: Timestamp, target: TargetId, took: Duration) {
+    pub fn record_request_time(&mut self, now: Timestamp, target: TargetId, took: Duration) {
         let capped = took.as_secs_f64().min(self.usual_seconds * USUAL_SAMPLE_CAP_RATIO);
         self.usual_seconds += (capped - self.usual_seconds) * USUAL_TIME_WEIGHT;
         self.add_sample(now, target, took);
