--- a/crates/core/src/direct/dispatcher/established.rs
+++ b/crates/core/src/direct/dispatcher/established.rs
@@ -154,7 +154,7 @@
     /// is sampled only if the SYN was sent to no other target before.
     fn finish_handshake(&mut self, now: Timestamp, flow: FlowId, target: TargetId, handshake: Handshake) {
         let Handshake { sent, first, moved } = handshake;
-        if self.outliers.answered(now, target) {
+        if self.outliers.handshake_completed(now, target) {
             self.mark_cold_after_silence(now, target);
         }
         if let Some(target) = self.directory.target(target)
--- a/crates/core/src/direct/dispatcher/reporting.rs
+++ b/crates/core/src/direct/dispatcher/reporting.rs
@@ -139,7 +139,7 @@
     /// Records that a target answered, and reports it if peers suspect the target.
     pub(super) fn record_liveness(&mut self, now: Timestamp, target: TargetId) {
         self.checks.answered(now, target);
-        if self.outliers.answers(now, target) {
+        if self.outliers.record_response(now, target) {
             self.report.alive.push(cookie(target));
         }
     }
--- a/crates/core/src/direct/dispatcher/syn.rs
+++ b/crates/core/src/direct/dispatcher/syn.rs
@@ -291,7 +291,7 @@
         let Stage::Handshake(handshake) = &flow.stage else { return false };
         let (target, sent) = (flow.target, handshake.sent);
         let suspicion =
-            self.is_enabled(Mechanism::OutlierDetection).then(|| self.outliers.unanswered(now, target, sent));
+            self.is_enabled(Mechanism::OutlierDetection).then(|| self.outliers.handshake_failed(now, target, sent));
         if let Some(avoidance) = suspicion.flatten() {
             self.report.avoid.push((cookie(target), avoidance));
             self.checks.suspect(now, target);
--- a/crates/core/src/direct/domain_reach.rs
+++ b/crates/core/src/direct/domain_reach.rs
@@ -53,7 +53,7 @@
             return false;
         }
         self.clear_suspicion(domain);
-        self.domains.answered(now, domain);
+        self.domains.handshake_completed(now, domain);
         suspected
     }
 
@@ -71,7 +71,7 @@
         if self.last_failed.insert(domain, target.id) == Some(target.id) {
             return None;
         }
-        let avoidance = self.domains.unanswered(now, domain, sent)?;
+        let avoidance = self.domains.handshake_failed(now, domain, sent)?;
         if self.is_newer(domain, target) {
             self.suspected_since.remove(&domain);
         }
--- a/crates/core/src/direct/outlier.rs
+++ b/crates/core/src/direct/outlier.rs
@@ -114,7 +114,7 @@
 impl Outliers {
     /// Records that a target has completed a handshake. Returns whether it was unresponsive before for so long that
     /// it may have been restarted.
-    pub fn answered(&mut self, now: Timestamp, target: TargetId) -> bool {
+    pub fn handshake_completed(&mut self, now: Timestamp, target: TargetId) -> bool {
         let record = self.records.entry(target).or_default();
         let may_have_restarted = record.is_unresponsive(now);
         record.clear(now);
@@ -153,7 +153,7 @@
     ///
     /// Without this notification, an instance with few flows at a target could not distinguish a target that others
     /// reach from a restarted one, and would treat a target that lost two packets as cold.
-    pub fn answers(&mut self, now: Timestamp, target: TargetId) -> bool {
+    pub fn record_response(&mut self, now: Timestamp, target: TargetId) -> bool {
         let record = self.records.entry(target).or_default();
         record.last_alive = now;
         record.take_liveness_report(now)
@@ -175,7 +175,7 @@
     /// Records that a target has not completed the handshake of a SYN sent at `sent`.
     ///
     /// Returns the time for which to avoid the target if peers should be notified.
-    pub fn unanswered(&mut self, now: Timestamp, target: TargetId, sent: Timestamp) -> Option<Duration> {
+    pub fn handshake_failed(&mut self, now: Timestamp, target: TargetId, sent: Timestamp) -> Option<Duration> {
         let record = self.records.entry(target).or_default();
         if record.last_handshake.is_some_and(|at| at > sent) {
             // It has completed the handshake of a later SYN, so this one was lost on the way.
