--- a/crates/core/src/direct/dispatcher/reporting.rs
+++ b/crates/core/src/direct/dispatcher/reporting.rs
@@ -60,7 +60,7 @@
         }
         if self.is_enabled(Mechanism::DomainReach) {
             for (domain, avoidance) in &report.avoid_domains {
-                self.domains.receive(now, domain, *avoidance);
+                self.domains.apply_suspicion(now, domain, *avoidance);
             }
             for domain in &report.alive_domains {
                 self.domains.receive_answer(now, domain);
--- a/crates/core/src/direct/domain_reach.rs
+++ b/crates/core/src/direct/domain_reach.rs
@@ -80,7 +80,7 @@
     }
 
     /// Applies a suspicion of a domain reported by a peer, unless the domain has just responded to this instance.
-    pub fn receive(&mut self, now: Timestamp, domain: &str, avoidance: Duration) {
+    pub fn apply_suspicion(&mut self, now: Timestamp, domain: &str, avoidance: Duration) {
         let domain = domain_key(domain);
         self.domains.apply_suspicion(now, domain, avoidance);
         if self.domains.is_suspected(domain) {
