--- a/crates/core/src/direct/dispatcher/resetting.rs
+++ b/crates/core/src/direct/dispatcher/resetting.rs
@@ -40,11 +40,11 @@
         effects: &mut Vec<Effect>,
     ) {
         let alone = self.group.len() <= 1;
-        let asked = self.checks.is_asked(target);
+        let check_requested = self.checks.is_check_requested(target);
         let finding = self.checks.check_finished(now, target, outcome, alone);
         let answer = match finding {
-            Finding::Alive if asked => Some(&mut self.report.alive),
-            Finding::Failed | Finding::OutOfReach | Finding::StillOutOfReach if asked => {
+            Finding::Alive if check_requested => Some(&mut self.report.alive),
+            Finding::Failed | Finding::OutOfReach | Finding::StillOutOfReach if check_requested => {
                 Some(&mut self.report.confirmed)
             }
             Finding::Failed => Some(&mut self.report.unreachable),
@@ -77,12 +77,12 @@
             report.unreachable.iter().filter_map(|cookie| self.target_by_cookie(*cookie)).collect();
         let confirmed = report.confirmed.iter().filter_map(|cookie| self.target_by_cookie(*cookie));
         for target in unreached.iter().copied().chain(confirmed).collect::<Vec<_>>() {
-            if self.checks.confirmed(now, target) {
+            if self.checks.record_peer_failure(now, target) {
                 self.mark_out_of_reach(now, target, effects);
             }
         }
         for target in unreached.iter().copied().filter(|target| self.is_checker(*target)).collect::<Vec<_>>() {
-            self.checks.asked(target);
+            self.checks.request_check(target);
         }
         if !unreached.is_empty() {
             self.check_targets(now, effects);
--- a/crates/core/src/direct/reachability.rs
+++ b/crates/core/src/direct/reachability.rs
@@ -176,7 +176,7 @@
 
     /// Records that another instance has failed to reach a target. Returns whether the target has become out of
     /// reach.
-    pub fn confirmed(&mut self, now: Timestamp, target: TargetId) -> bool {
+    pub fn record_peer_failure(&mut self, now: Timestamp, target: TargetId) -> bool {
         let record = self.records.entry(target).or_default();
         record.peer_failed_at = Some(now);
         let (new, failed) = (record.conclude(now, false), record.failed);
@@ -193,7 +193,7 @@
 
     /// Returns whether another instance has requested a check of a target and the check has not finished.
     #[must_use]
-    pub fn is_asked(&self, target: TargetId) -> bool {
+    pub fn is_check_requested(&self, target: TargetId) -> bool {
         self.records.get(&target).is_some_and(|record| record.check_requested)
     }
 
@@ -207,7 +207,7 @@
     }
 
     /// Records that another instance requests a check of a target.
-    pub fn asked(&mut self, target: TargetId) {
+    pub fn request_check(&mut self, target: TargetId) {
         self.records.entry(target).or_default().check_requested = true;
     }
 
--- a/crates/core/tests/direct/reachability.rs
+++ b/crates/core/tests/direct/reachability.rs
@@ -56,7 +56,7 @@
     checks.check_finished(NOW + ms(2), LIVE_TARGET, CheckOutcome::Accepted, false);
     assert_eq!(fail(&mut checks, NOW, false), Finding::Failed);
     assert_eq!(checks.reachability(SILENT_TARGET), Reachability::Reachable);
-    assert!(checks.confirmed(NOW + ms(90), SILENT_TARGET));
+    assert!(checks.record_peer_failure(NOW + ms(90), SILENT_TARGET));
     assert_eq!(checks.reachability(SILENT_TARGET), Reachability::OutOfReach);
     checks.refuted(NOW + ms(95), SILENT_TARGET);
     assert_eq!(checks.reachability(SILENT_TARGET), Reachability::Reachable);
@@ -92,6 +92,6 @@
     let mut checks = under_check();
     checks.check_finished(NOW + ms(2), LIVE_TARGET, CheckOutcome::Accepted, false);
     assert_eq!(fail(&mut checks, NOW, false), Finding::Failed);
-    assert!(!checks.confirmed(NOW + Duration::from_secs(10), SILENT_TARGET));
+    assert!(!checks.record_peer_failure(NOW + Duration::from_secs(10), SILENT_TARGET));
     assert_eq!(checks.reachability(SILENT_TARGET), Reachability::Reachable);
 }
