--- a/crates/core/src/direct/dispatcher/mod.rs
+++ b/crates/core/src/direct/dispatcher/mod.rs
@@ -224,7 +224,7 @@
 
     /// Returns the limit up to which a target may be filled by a flow, by whether the flow is late.
     fn limit(&self, late: bool) -> Limit {
-        if late || !self.is_enabled(Mechanism::TargetReserve) { Limit::Slots } else { Limit::Usual }
+        if late || !self.is_enabled(Mechanism::TargetReserve) { Limit::Slots } else { Limit::Reserve }
     }
 
     /// Returns the local copy of the store.
--- a/crates/core/src/direct/dispatcher/syn.rs
+++ b/crates/core/src/direct/dispatcher/syn.rs
@@ -320,7 +320,7 @@
         pending.service = service;
         pending.tried = tried;
         // The flow is not reset if every other target is full, since the first one may still answer.
-        let Choice::Target(next) = self.choose(now, &pending, Limit::Full) else { return false };
+        let Choice::Target(next) = self.choose(now, &pending, Limit::Queue) else { return false };
         self.place(now, pending, next, Outcome::PlacedAgain, effects);
         true
     }
--- a/crates/core/src/direct/dispatcher/timers.rs
+++ b/crates/core/src/direct/dispatcher/timers.rs
@@ -176,7 +176,7 @@
 
     /// Places or rejects a pending flow whose waiting time is over, since its caller's attempt is about to end.
     fn handle_pending_timeout(&mut self, now: Timestamp, pending: PendingFlow, effects: &mut Vec<Effect>) {
-        match self.choose(now, &pending, Limit::Usual) {
+        match self.choose(now, &pending, Limit::Reserve) {
             Choice::Target(target) => self.place(now, pending, target, Outcome::Placed, effects),
             Choice::Full => self.reject_pending(now, &pending, Outcome::ResetFull, effects),
             Choice::NoTarget => self.reject_pending(now, &pending, Outcome::ResetNoTarget, effects),
--- a/crates/core/src/direct/placement.rs
+++ b/crates/core/src/direct/placement.rs
@@ -55,10 +55,10 @@
     Slots,
     /// As many as it has slots, and a small reserve. Further requests would wait longer at the target than in the
     /// pending queue.
-    Usual,
+    Reserve,
     /// As many as it has slots and queues. Used for flows that were sent to an unresponsive target and cannot wait
     /// any longer.
-    Full,
+    Queue,
 }
 
 /// Result of the search for a target.
@@ -121,7 +121,7 @@
                 != Availability::Unresponsive;
             let domain = target.spec.failure_domain.as_str();
             let at_limit =
-                limit != Limit::Full && reached_limits.get(domain, || self.is_at_limit(now, service, domain));
+                limit != Limit::Queue && reached_limits.get(domain, || self.is_at_limit(now, service, domain));
             if tried.contains(&target.id) || !self.has_room(target, limit) || at_limit {
                 continue;
             }
@@ -247,8 +247,8 @@
     fn has_room(&self, target: &Target, limit: Limit) -> bool {
         let reserve = match limit {
             Limit::Slots => 0,
-            Limit::Usual => TARGET_RESERVE,
-            Limit::Full => TARGET_QUEUE_CAPACITY,
+            Limit::Reserve => TARGET_RESERVE,
+            Limit::Queue => TARGET_QUEUE_CAPACITY,
         };
         self.open_requests.count(target.id) < target.spec.slots.max(1) + reserve
     }
