--- a/crates/core/src/flows/mod.rs
+++ b/crates/core/src/flows/mod.rs
@@ -495,7 +495,7 @@
     ///
     /// During the pause other instances may have taken over its flows. For flows without a packet since then, the
     /// earlier homes are queried before this instance serves them.
-    pub fn woke(&mut self, now: Timestamp, before: View) {
+    pub fn resumed_after_pause(&mut self, now: Timestamp, before: View) {
         self.unconfirmed_before = Some(now);
         self.view_history.remember(now, before);
         self.advertiser.restart();
--- a/crates/core/src/node/fence.rs
+++ b/crates/core/src/node/fence.rs
@@ -108,7 +108,7 @@
         if fence.joining {
             self.flows.joined(now, before);
         } else {
-            self.flows.woke(now, before);
+            self.flows.resumed_after_pause(now, before);
         }
         let (requests, mut cx) = self.request_context(now, out);
         requests.fence_lifted(&mut cx);
