--- a/crates/core/src/catalog.rs
+++ b/crates/core/src/catalog.rs
@@ -6,7 +6,7 @@
 
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::maps::Map;
+use crate::maps::FixedHashMap;
 use crate::rendezvous;
 use hawthornshift_model::CheckedSet;
 use hawthornshift_model::Class;
@@ -107,9 +107,9 @@
     digest: u64,
     domains: Vec<DomainEntry>,
     groups: Vec<GroupEntry>,
-    services: Map<ServiceId, ServiceEntry>,
-    targets: Map<TargetId, TargetEntry>,
-    by_address: Map<SocketAddr, TargetId>,
+    services: FixedHashMap<ServiceId, ServiceEntry>,
+    targets: FixedHashMap<TargetId, TargetEntry>,
+    by_address: FixedHashMap<SocketAddr, TargetId>,
 }
 
 impl Catalog {
--- a/crates/core/src/direct/answer_times.rs
+++ b/crates/core/src/direct/answer_times.rs
@@ -12,7 +12,7 @@
 use crate::Timestamp;
 use crate::direct::smoothed_time::SmoothedTime;
 use crate::direct::smoothed_time::Weights;
-use crate::maps::Map;
+use crate::maps::FixedHashMap;
 
 /// Weights of a new sample.
 const WEIGHTS: Weights = Weights { time: 0.05, deviation: 0.05 };
@@ -33,7 +33,7 @@
 /// Answer times of all routes.
 #[derive(Clone, Debug, Default)]
 pub struct AnswerTimes {
-    routes: Map<SocketAddrV4, RouteTimes>,
+    routes: FixedHashMap<SocketAddrV4, RouteTimes>,
 }
 
 impl AnswerTimes {
--- a/crates/core/src/direct/directory.rs
+++ b/crates/core/src/direct/directory.rs
@@ -21,7 +21,7 @@
 use crate::direct::store_entries::StoreEntry;
 use crate::direct::store_entries::TargetSpec;
 use crate::direct::store_entries::VersionedEntry;
-use crate::maps::Map;
+use crate::maps::FixedHashMap;
 use hawthornshift_model::Revision;
 use hawthornshift_model::TargetId;
 
@@ -107,7 +107,7 @@
     /// one is known.
     unapplied_revision: Option<Revision>,
     targets: BTreeMap<TargetId, Target>,
-    by_cookie: Map<Cookie, TargetId>,
+    by_cookie: FixedHashMap<Cookie, TargetId>,
     by_service: BTreeMap<String, Vec<TargetId>>,
     domains: BTreeMap<String, (Revision, bool)>,
     /// When this instance learned that a domain is evacuated.
--- a/crates/core/src/direct/domain_reach.rs
+++ b/crates/core/src/direct/domain_reach.rs
@@ -16,7 +16,7 @@
 use crate::direct::directory::Target;
 use crate::direct::outlier::Availability;
 use crate::direct::outlier::Outliers;
-use crate::maps::Map;
+use crate::maps::FixedHashMap;
 use hawthornshift_model::TargetId;
 
 /// Time after a completed handshake in a failure domain during which an unresponsive target does not count against
@@ -35,9 +35,9 @@
 pub struct DomainReach {
     domains: Outliers,
     /// Target whose handshake last failed. Consecutive failures of one target count once.
-    last_failed: Map<DomainKey, TargetId>,
+    last_failed: FixedHashMap<DomainKey, TargetId>,
     /// When each domain became suspected. Targets that have started since are not among the unresponsive ones.
-    suspected_since: Map<DomainKey, Timestamp>,
+    suspected_since: FixedHashMap<DomainKey, Timestamp>,
 }
 
 impl DomainReach {
--- a/crates/core/src/direct/failures.rs
+++ b/crates/core/src/direct/failures.rs
@@ -12,7 +12,7 @@
 
 use crate::Timestamp;
 use crate::backoff;
-use crate::maps::Map;
+use crate::maps::FixedHashMap;
 use hawthornshift_model::TargetId;
 
 /// Weight of a new sample in the usual answer size and time of a route.
@@ -62,8 +62,8 @@
 /// Failure detection for all routes and targets.
 #[derive(Clone, Debug, Default)]
 pub struct Failures {
-    baselines: Map<SocketAddrV4, RouteBaseline>,
-    records: Map<TargetId, Record>,
+    baselines: FixedHashMap<SocketAddrV4, RouteBaseline>,
+    records: FixedHashMap<TargetId, Record>,
 }
 
 impl Failures {
--- a/crates/core/src/direct/flows.rs
+++ b/crates/core/src/direct/flows.rs
@@ -10,7 +10,7 @@
 use crate::Timestamp;
 use crate::direct::segment::FlowHash;
 use crate::direct::segment::FlowId;
-use crate::maps::Map;
+use crate::maps::FixedHashMap;
 use hawthornshift_model::TargetId;
 
 /// Time without a packet after which the record of a flow that awaits an answer, or is closed, is dropped. Callers
@@ -89,7 +89,7 @@
 /// Records of flows, by flow hash.
 #[derive(Clone, Debug, Default)]
 pub struct FlowRecords {
-    flows: Map<FlowHash, Flow>,
+    flows: FixedHashMap<FlowHash, Flow>,
     handshake_timers: VecDeque<(Timestamp, FlowHash)>,
 }
 
--- a/crates/core/src/direct/open_requests.rs
+++ b/crates/core/src/direct/open_requests.rs
@@ -14,7 +14,7 @@
 
 use crate::Timestamp;
 use crate::direct::segment::FlowHash;
-use crate::maps::Map;
+use crate::maps::FixedHashMap;
 use hawthornshift_model::TargetId;
 
 /// Time without a report after which a request is considered to have ended.
@@ -85,19 +85,19 @@
 /// Open requests of all targets.
 #[derive(Clone, Debug)]
 pub struct OpenRequests {
-    flows: Map<FlowHash, OpenRequest>,
-    counts: Map<TargetId, u32>,
+    flows: FixedHashMap<FlowHash, OpenRequest>,
+    counts: FixedHashMap<TargetId, u32>,
     /// The part of `counts` whose packets pass through this instance.
-    local_counts: Map<TargetId, u32>,
-    mean_times: Map<TargetId, MeanTime>,
+    local_counts: FixedHashMap<TargetId, u32>,
+    mean_times: FixedHashMap<TargetId, MeanTime>,
     /// Number of requests answered by each target that were never reported, since the last report about that target.
-    unreported: Map<TargetId, u16>,
+    unreported: FixedHashMap<TargetId, u16>,
     usual_seconds: f64,
     expiry_queue: VecDeque<(Timestamp, FlowHash)>,
 }
 
 /// Decrements the count of a target.
-fn decrease(counts: &mut Map<TargetId, u32>, target: TargetId) {
+fn decrease(counts: &mut FixedHashMap<TargetId, u32>, target: TargetId) {
     if let Some(count) = counts.get_mut(&target) {
         *count -= 1;
         if *count == 0 {
@@ -109,11 +109,11 @@
 impl Default for OpenRequests {
     fn default() -> Self {
         Self {
-            flows: Map::default(),
-            counts: Map::default(),
-            local_counts: Map::default(),
-            mean_times: Map::default(),
-            unreported: Map::default(),
+            flows: FixedHashMap::default(),
+            counts: FixedHashMap::default(),
+            local_counts: FixedHashMap::default(),
+            mean_times: FixedHashMap::default(),
+            unreported: FixedHashMap::default(),
             usual_seconds: INITIAL_USUAL_TIME.as_secs_f64(),
             expiry_queue: VecDeque::new(),
         }
--- a/crates/core/src/direct/outlier.rs
+++ b/crates/core/src/direct/outlier.rs
@@ -14,7 +14,7 @@
 
 use crate::Timestamp;
 use crate::backoff;
-use crate::maps::Map;
+use crate::maps::FixedHashMap;
 use hawthornshift_model::TargetId;
 
 /// Time for which a target is avoided after the first handshake that was not completed. It is short, because one
@@ -108,7 +108,7 @@
 /// Outlier detection for all targets.
 #[derive(Clone, Debug, Default)]
 pub struct Outliers {
-    records: Map<TargetId, Record>,
+    records: FixedHashMap<TargetId, Record>,
 }
 
 impl Outliers {
--- a/crates/core/src/direct/reachability.rs
+++ b/crates/core/src/direct/reachability.rs
@@ -20,7 +20,7 @@
 
 use crate::Timestamp;
 use crate::backoff;
-use crate::maps::Map;
+use crate::maps::FixedHashMap;
 use hawthornshift_model::TargetId;
 
 /// Timeout for a connection to be accepted, which is twenty round trips between failure domains.
@@ -137,7 +137,7 @@
 /// Reachability checks of all targets to which packets have been sent.
 #[derive(Clone, Debug, Default)]
 pub struct ReachabilityChecks {
-    records: Map<TargetId, Record>,
+    records: FixedHashMap<TargetId, Record>,
     /// Start of the latest check whose connection was accepted.
     latest_accepted_start: Option<Timestamp>,
     changes: Vec<ReachabilityChange>,
--- a/crates/core/src/direct/routes.rs
+++ b/crates/core/src/direct/routes.rs
@@ -15,7 +15,7 @@
 use crate::direct::store_entries::RoutingChange;
 use crate::direct::store_entries::StoreEntry;
 use crate::direct::store_entries::VersionedEntry;
-use crate::maps::Map;
+use crate::maps::FixedHashMap;
 use hawthornshift_model::Revision;
 
 /// Number of earlier configurations to which a difference can be computed. A peer that is further behind receives the
@@ -38,7 +38,7 @@
 pub struct Routes {
     revision: Revision,
     routing: Routing,
-    by_address: Map<SocketAddrV4, usize>,
+    by_address: FixedHashMap<SocketAddrV4, usize>,
     /// Revision at which each route last changed, if that is later than the first revision in `known_revisions`.
     changed: BTreeMap<SocketAddrV4, Revision>,
     /// Removed routes, with the revision at which they were removed.
@@ -54,7 +54,7 @@
         let mut routes = Self {
             revision,
             routing,
-            by_address: Map::default(),
+            by_address: FixedHashMap::default(),
             changed: BTreeMap::new(),
             removed: BTreeMap::new(),
             known_revisions: BTreeSet::from([revision]),
--- a/crates/core/src/flows/table.rs
+++ b/crates/core/src/flows/table.rs
@@ -12,7 +12,7 @@
 use crate::Timestamp;
 use crate::catalog::Catalog;
 use crate::event::LocalPort;
-use crate::maps::Map;
+use crate::maps::FixedHashMap;
 use crate::message::FlowDescriptor;
 use crate::message::TargetDescriptor;
 use hawthornshift_model::FlowKey;
@@ -217,10 +217,10 @@
     vacant: Vec<SlotIndex>,
     index: HashTable<SlotIndex>,
     bindings: Vec<TargetBinding>,
-    by_service_and_target: Map<(ServiceId, TargetId), BindingIndex>,
-    by_target: Map<TargetId, Vec<BindingIndex>>,
+    by_service_and_target: FixedHashMap<(ServiceId, TargetId), BindingIndex>,
+    by_target: FixedHashMap<TargetId, Vec<BindingIndex>>,
     ports: Vec<PortAllocator>,
-    by_address: Map<SocketAddr, usize>,
+    by_address: FixedHashMap<SocketAddr, usize>,
     capacity: usize,
     held: usize,
     elsewhere: usize,
@@ -236,10 +236,10 @@
             vacant: Vec::new(),
             index: HashTable::new(),
             bindings: Vec::new(),
-            by_service_and_target: Map::default(),
-            by_target: Map::default(),
+            by_service_and_target: FixedHashMap::default(),
+            by_target: FixedHashMap::default(),
             ports: Vec::new(),
-            by_address: Map::default(),
+            by_address: FixedHashMap::default(),
             capacity,
             held: 0,
             elsewhere: 0,
--- a/crates/core/src/health.rs
+++ b/crates/core/src/health.rs
@@ -10,7 +10,7 @@
 use strum::IntoStaticStr;
 
 use crate::Timestamp;
-use crate::maps::Map;
+use crate::maps::FixedHashMap;
 use hawthornshift_model::TargetId;
 
 /// Status of a target.
@@ -44,7 +44,7 @@
 /// Latest status of each target, with the time at which it arrived.
 #[derive(Clone, Debug, Default)]
 pub struct TargetStatusCache {
-    statuses: Map<TargetId, (TargetStatus, Timestamp)>,
+    statuses: FixedHashMap<TargetId, (TargetStatus, Timestamp)>,
 }
 
 impl TargetStatusCache {
--- a/crates/core/src/maps.rs
+++ b/crates/core/src/maps.rs
@@ -10,7 +10,7 @@
 use foldhash::fast::FixedState;
 
 /// A hash map with a fixed seed.
-pub type Map<K, V> = HashMap<K, V, FixedState>;
+pub type FixedHashMap<K, V> = HashMap<K, V, FixedState>;
 
 /// A hash set with a fixed seed.
-pub type Set<K> = HashSet<K, FixedState>;
+pub type FixedHashSet<K> = HashSet<K, FixedState>;
--- a/crates/core/src/platform.rs
+++ b/crates/core/src/platform.rs
@@ -14,7 +14,7 @@
 use crate::Timestamp;
 use crate::backoff;
 use crate::event::Resource;
-use crate::maps::Map;
+use crate::maps::FixedHashMap;
 use crate::message::MemberUpdate;
 use crate::rendezvous;
 use crate::view::View;
@@ -44,7 +44,7 @@
 /// Decides when this instance reads each resource of the platform.
 #[derive(Clone, Debug)]
 pub struct PlatformReader {
-    schedules: Map<Resource, Schedule>,
+    schedules: FixedHashMap<Resource, Schedule>,
     fallback: Duration,
 }
 
--- a/crates/core/src/requests/mod.rs
+++ b/crates/core/src/requests/mod.rs
@@ -38,7 +38,7 @@
 use crate::event::StoredAnswer;
 use crate::invariants::Invariant;
 use crate::invariants::InvariantCounters;
-use crate::maps::Map;
+use crate::maps::FixedHashMap;
 use crate::membership::Membership;
 use crate::message::ForwardedRequestHeader;
 use crate::message::ForwardedRequestPurpose;
@@ -163,7 +163,7 @@
 /// All requests that this instance is handling, in any role.
 #[derive(Clone, Debug, Default)]
 pub struct Requests {
-    entries: Map<RequestId, RequestEntry>,
+    entries: FixedHashMap<RequestId, RequestEntry>,
     deadlines: BTreeSet<(Timestamp, RequestId)>,
     /// Requests that wait until the view is confirmed, with their tickets.
     fenced: Vec<(RequestId, Option<String>)>,
--- a/crates/core/src/streams.rs
+++ b/crates/core/src/streams.rs
@@ -13,7 +13,7 @@
 use crate::event::StreamId;
 use crate::health::TargetStatus;
 use crate::health::TargetStatusCache;
-use crate::maps::Map;
+use crate::maps::FixedHashMap;
 use crate::rendezvous;
 use crate::view::View;
 use hawthornshift_model::FlowKey;
@@ -31,7 +31,7 @@
 /// The streams that this instance relays.
 #[derive(Clone, Debug, Default)]
 pub struct Streams {
-    streams: Map<StreamId, Stream>,
+    streams: FixedHashMap<StreamId, Stream>,
     by_target: BTreeMap<TargetId, u32>,
 }
 
--- a/crates/core/src/tickets.rs
+++ b/crates/core/src/tickets.rs
@@ -26,8 +26,8 @@
 use crate::event::StoredAnswer;
 use crate::invariants::Invariant;
 use crate::invariants::InvariantCounters;
-use crate::maps::Map;
-use crate::maps::Set;
+use crate::maps::FixedHashMap;
+use crate::maps::FixedHashSet;
 use crate::message::PeerMessage;
 use crate::message::Refusal;
 use hawthornshift_model::Incarnation;
@@ -183,7 +183,7 @@
 #[derive(Clone, Debug)]
 struct FinalReport {
     known_since_ms: u64,
-    redeemed: Set<Serial>,
+    redeemed: FixedHashSet<Serial>,
 }
 
 /// The tickets issued by this incarnation of this instance, and the final reports of other issuers.
@@ -195,7 +195,7 @@
     lifetime: Duration,
     max_answer_bytes: usize,
     next_serial: Serial,
-    redemptions: Map<Serial, Redemption>,
+    redemptions: FixedHashMap<Serial, Redemption>,
     /// Stored answers with their sizes in bytes, oldest first.
     answers: VecDeque<(Serial, usize)>,
     answer_bytes: usize,
@@ -224,7 +224,7 @@
             lifetime,
             max_answer_bytes,
             next_serial: 1,
-            redemptions: Map::default(),
+            redemptions: FixedHashMap::default(),
             answers: VecDeque::new(),
             answer_bytes: 0,
             expiry_queue: VecDeque::new(),
