--- a/crates/core/src/coordinator.rs
+++ b/crates/core/src/coordinator.rs
@@ -509,18 +509,18 @@
     /// Returns the status of targets whose status has changed since the last call with `only_changed`. Without
     /// `only_changed`, the result also contains every target that is not warm, and nothing is marked as published.
     pub fn status_updates(&mut self, only_changed: bool) -> Vec<TargetStatusUpdate> {
-        let mut news = Vec::new();
+        let mut updates = Vec::new();
         for (id, state) in &mut self.targets {
             let status = state.status();
             let changed = state.last_published != Some(status);
             if changed || (!only_changed && status != TargetStatus::Warm) {
-                news.push(TargetStatusUpdate { target: *id, status });
+                updates.push(TargetStatusUpdate { target: *id, status });
             }
             if only_changed {
                 state.last_published = Some(status);
             }
         }
-        news
+        updates
     }
 }
 
--- a/crates/core/src/direct/bootstrap.rs
+++ b/crates/core/src/direct/bootstrap.rs
@@ -112,9 +112,9 @@
 
     /// Returns whether to read the store now. `rank` is the number of known instances that read before this one.
     pub fn should_read_store(&mut self, now: Timestamp, rank: u32, role: &WatcherRole) -> bool {
-        let turn = (TURN_PERIOD * (rank / self.concurrent_readers)).min(MAX_TURN_DELAY);
+        let turn_delay = (TURN_PERIOD * (rank / self.concurrent_readers)).min(MAX_TURN_DELAY);
         let slow_link_delay = if rank > 0 && self.slow_link { SLOW_LINK_DELAY } else { Duration::ZERO };
-        let due = self.read_after + turn + slow_link_delay;
+        let due = self.read_after + turn_delay + slow_link_delay;
         let overdue = now >= due + READ_FALLBACK_DELAY && !role.is_watching();
         let reads = overdue || (now >= due && role.should_read());
         if reads {
--- a/crates/core/src/direct/dispatcher/resetting.rs
+++ b/crates/core/src/direct/dispatcher/resetting.rs
@@ -184,8 +184,8 @@
 
     /// Resets an open flow and removes its record.
     fn reset_open(&mut self, now: Timestamp, segment: Segment, target: TargetId, effects: &mut Vec<Effect>) {
-        let asked = self.flows.get(&segment.flow).map(|flow| flow.first_seen);
-        let took = asked.map_or(Duration::ZERO, |asked| now.saturating_sub(asked));
+        let first_seen = self.flows.get(&segment.flow).map(|flow| flow.first_seen);
+        let took = first_seen.map_or(Duration::ZERO, |first_seen| now.saturating_sub(first_seen));
         self.abandon_request(segment.flow);
         self.flows.remove(&segment.flow);
         effects.push(Effect::Reset(segment));
--- a/crates/core/src/flows/mod.rs
+++ b/crates/core/src/flows/mod.rs
@@ -215,14 +215,14 @@
     pub fn forwarded_packet(
         &mut self,
         now: Timestamp,
-        head: &ForwardedPacketHeader,
+        header: &ForwardedPacketHeader,
         cx: FlowContext<'_>,
         invariant_counters: &mut InvariantCounters,
     ) -> PacketAction {
-        invariant_counters.assert(head.hops_left <= MAX_HOPS, Invariant::ForwardingEnds);
-        let key = FlowKey { service: head.service, caller: head.caller };
-        let ForwardedPacketHeader { from, purpose, .. } = *head;
-        let packet = Packet { now, key, from: Some(from), hops_left: head.hops_left.min(MAX_HOPS), purpose };
+        invariant_counters.assert(header.hops_left <= MAX_HOPS, Invariant::ForwardingEnds);
+        let key = FlowKey { service: header.service, caller: header.caller };
+        let ForwardedPacketHeader { from, purpose, .. } = *header;
+        let packet = Packet { now, key, from: Some(from), hops_left: header.hops_left.min(MAX_HOPS), purpose };
         self.decide(packet, cx, invariant_counters)
     }
 
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -154,10 +154,10 @@
         self.detect_pause(now, out);
         match input {
             Input::CallerPacket { service, caller } => self.caller_packet(now, FlowKey { service, caller }, out),
-            Input::ForwardedPacket(head) => {
+            Input::ForwardedPacket(header) => {
                 let Self { flows, view, membership, health, configuration, fence, invariant_counters, .. } = self;
                 let cx = flow_context(view, membership, health, configuration, fence.as_ref());
-                out.push(Output::Packet(flows.forwarded_packet(now, &head, cx, invariant_counters)));
+                out.push(Output::Packet(flows.forwarded_packet(now, &header, cx, invariant_counters)));
             }
             Input::TargetPacket { target, local_port } => {
                 out.push(Output::Packet(self.flows.target_packet(now, target, local_port, self.fence.is_some())));
--- a/crates/core/src/requests/mod.rs
+++ b/crates/core/src/requests/mod.rs
@@ -253,24 +253,29 @@
     }
 
     /// Handles a request from another instance.
-    pub fn forward_arrived(&mut self, cx: &mut RequestContext<'_>, request: RequestId, head: &ForwardedRequestHeader) {
+    pub fn forward_arrived(
+        &mut self,
+        cx: &mut RequestContext<'_>,
+        request: RequestId,
+        header: &ForwardedRequestHeader,
+    ) {
         self.counts.passed_in += 1;
-        let role = match head.purpose {
+        let role = match header.purpose {
             ForwardedRequestPurpose::Redeem { .. } => Role::Issuer,
             ForwardedRequestPurpose::Execute => Role::Coordinator,
         };
         let new_request = NewRequest {
             request,
             role,
-            service: head.service,
-            idempotent: head.idempotent,
+            service: header.service,
+            idempotent: header.idempotent,
             with_ticket: role == Role::Issuer,
-            time_left: Some(head.time_left),
+            time_left: Some(header.time_left),
         };
         if !self.register(cx, new_request) {
             return;
         }
-        match &head.purpose {
+        match &header.purpose {
             ForwardedRequestPurpose::Redeem { ticket } => self.start(cx, request, Some(ticket)),
             ForwardedRequestPurpose::Execute => self.start(cx, request, None),
         }
