--- a/crates/core/tests/flows.rs
+++ b/crates/core/tests/flows.rs
@@ -1,4 +1,4 @@
-//! Failures of flows that the random runs have found, each played on purpose.
+//! Regression tests for flows: failures that the randomized tests in `fleet.rs` have found.
 
 mod support;
 
@@ -16,14 +16,14 @@
 use hawthornshift_model::CheckedSet;
 use hawthornshift_model::DomainState;
 
-/// Starts eight instances with forty flows and lets them settle.
+/// Starts eight instances, then forty flows, and runs for two seconds so that each flow gets a target.
 fn world_with_flows(seed: u64) -> World {
     let mut world = World::new(seed, 8);
-    world.run(Duration::from_secs(6));
+    world.run_for(Duration::from_secs(6));
     for number in 0..40 {
-        world.flow(number);
+        world.open_flow(number);
     }
-    world.run(Duration::from_secs(2));
+    world.run_for(Duration::from_secs(2));
     world
 }
 
@@ -31,169 +31,179 @@
     assert_eq!(world.broken_flows(), Vec::<String>::new());
 }
 
-/// The fabric hands packets to an instance that has started a moment ago and knows nobody. It would take every flow
-/// for a new one, and callers in the middle of a flow would find themselves at another target.
+/// The fabric sends packets to an instance that has just started and knows no other instance. If it treated their
+/// established flows as new ones, it would move them to other targets.
 #[test]
-fn a_new_instance_opens_nothing_before_it_has_found_its_place() {
+fn a_new_instance_opens_no_flow_before_it_has_joined() {
     for seed in 0..20 {
         let mut world = world_with_flows(seed);
         world.start(8);
         world.start(9);
-        world.run(Duration::from_secs(5));
+        world.run_for(Duration::from_secs(5));
         assert_unbroken(&world);
     }
 }
 
-/// A failure domain is taken out, its callers move on to other targets, and it comes back. Instances that still have
-/// the old records would pull the callers back to targets they left long ago.
+/// A failure domain is taken out of service, its flows move to other targets, and it returns. Instances that still have
+/// the old flow records must not move the flows back to the targets that they have left.
 #[test]
-fn a_domain_that_comes_back_does_not_pull_flows_back() {
+fn a_domain_that_returns_does_not_reclaim_flows() {
     for seed in 0..10 {
         let mut world = world_with_flows(seed);
-        world.set_domain("sur", DomainState::Out);
-        // Long enough for every caller to have moved, short enough for old records that no packet has met since.
-        world.run(Duration::from_millis(1_300));
-        let moved = world.flow_targets();
-        world.set_domain("sur", DomainState::InService);
-        world.end_excuses();
-        world.run(Duration::from_secs(20));
-        assert_eq!(moved, world.flow_targets());
+        world.set_domain_state("sur", DomainState::Out);
+        // Long enough for every flow to have moved, short enough that old records remain which no packet has matched
+        // since.
+        world.run_for(Duration::from_millis(1_300));
+        let new_targets = world.flow_targets();
+        world.set_domain_state("sur", DomainState::InService);
+        world.forbid_breaks();
+        world.run_for(Duration::from_secs(20));
+        assert_eq!(new_targets, world.flow_targets());
         assert_unbroken(&world);
     }
 }
 
-/// A failure domain is cut off, and both sides serve the callers they are handed. When the cut heals, two instances
-/// hold one flow, and packets would go to one target or the other for ever, depending on where they enter.
+/// A network partition separates one failure domain, and both sides serve the packets that they receive. When the
+/// partition heals, two instances hold the same flow. Unless they resolve this, the instance at which a packet arrives
+/// decides its target from then on.
 #[test]
-fn a_flow_split_by_a_partition_becomes_one_again() {
+fn a_flow_split_by_a_partition_is_merged_after_it() {
     for seed in 0..10 {
         let mut world = world_with_flows(seed);
-        world.cut_domain("norte");
-        world.run(Duration::from_secs(8));
+        world.partition_domain("norte");
+        world.run_for(Duration::from_secs(8));
         world.heal();
-        world.run(Duration::from_secs(10));
-        let held = world.flow_targets();
-        world.run(Duration::from_secs(20));
-        assert_eq!(held, world.flow_targets(), "flows still change their targets long after the partition has healed");
+        world.run_for(Duration::from_secs(10));
+        let targets = world.flow_targets();
+        world.run_for(Duration::from_secs(20));
+        assert_eq!(
+            targets,
+            world.flow_targets(),
+            "flows still change their targets long after the partition has healed"
+        );
     }
 }
 
-/// An instance is frozen while its failure domain's neighbour is taken out, and wakes later than operators allow. It
-/// would send established flows into the domain that is out, on its old view.
+/// Instances are paused while a failure domain is taken out of service, and resume after the time within which it must
+/// be free of traffic. By their outdated view they would still send established flows to that domain.
 #[test]
-fn one_that_wakes_late_sends_nothing_on_its_old_view() {
+fn a_resumed_instance_sends_nothing_by_its_outdated_view() {
     let mut world = world_with_flows(1);
     for id in [1, 2, 6] {
         world.pause(id, Duration::from_secs(5));
     }
-    world.set_domain("este", DomainState::Out);
-    world.run(Duration::from_secs(15));
-    assert_eq!(world.never.late_after_out, 0);
+    world.set_domain_state("este", DomainState::Out);
+    world.run_for(Duration::from_secs(15));
+    assert_eq!(world.violations.sent_to_out_domain, 0);
 }
 
-/// An instance is frozen for so long that others take over its flows, and wakes with the old records. Its target was
-/// leaving, so the others chose another one, and their word of it is late. Callers who have moved on would be moved back, and forth again when the
-/// instance learns of it.
+/// An instance is paused for so long that others take over its flows, and resumes with its old records. The target in
+/// these records is leaving, so the others have chosen another one, and their advertisements arrive late. Without a
+/// check, the instance would move the flows back, and then forth again once it receives the advertisements.
 #[test]
-fn one_that_wakes_late_asks_before_it_serves_old_flows() {
+fn a_resumed_instance_checks_its_old_flows_before_it_serves_them() {
     for seed in 0..10 {
         for id in [2, 6] {
             let mut world = world_with_flows(seed);
             world.set.target_groups[1].targets[2].leaving = true;
             world.publish();
-            world.run(Duration::from_secs(2));
+            world.run_for(Duration::from_secs(2));
             world.pause(id, Duration::from_secs(6));
-            world.run(Duration::from_millis(5_900));
-            world.end_excuses();
-            // The word of where its flows are now is lost more often than not.
+            world.run_for(Duration::from_millis(5_900));
+            world.forbid_breaks();
+            // Most advertisements of the flows' current holders are lost.
             world.network.drop = 0.4;
-            world.run(Duration::from_secs(1));
+            world.run_for(Duration::from_secs(1));
             world.network.drop = 0.0;
-            world.run(Duration::from_secs(10));
+            world.run_for(Duration::from_secs(10));
             assert_unbroken(&world);
         }
     }
 }
 
-/// A failure domain was out for a while, so flows that belong there are held by instances of others; then the home
-/// that knows of them dies. Its successor would take those flows for new ones unless it was told beforehand.
+/// A failure domain was out of service for a while, so instances of other domains hold flows whose home is in it; then
+/// the home that records them crashes. Its successor would treat these flows as new unless they were advertised to it
+/// beforehand.
 #[test]
-fn a_home_that_dies_does_not_take_the_word_of_its_flows_with_it() {
+fn flows_survive_the_crash_of_a_home_that_does_not_hold_them() {
     for seed in 0..10 {
         let mut world = world_with_flows(seed);
-        world.set_domain("este", DomainState::Out);
-        world.run(Duration::from_secs(5));
-        world.set_domain("este", DomainState::InService);
+        world.set_domain_state("este", DomainState::Out);
+        world.run_for(Duration::from_secs(5));
+        world.set_domain_state("este", DomainState::InService);
         // Longer than earlier views are remembered.
-        world.run(Duration::from_secs(45));
-        world.end_excuses();
+        world.run_for(Duration::from_secs(45));
+        world.forbid_breaks();
         world.crash(if seed % 2 == 0 { 2 } else { 6 });
-        world.run(Duration::from_secs(10));
+        world.run_for(Duration::from_secs(10));
         assert_unbroken(&world);
     }
 }
 
-/// A failure domain that was cut off comes back with the belief that all others are dead, and spreads it. Instances
-/// that hear of their own death deny it, but the others have forgotten which flows they hold.
+/// The instances of a failure domain assume after a partition that all others are dead, and disseminate this. The
+/// instances concerned refute it, but by then the others have dropped the records of which flows they hold, so these
+/// must be advertised again.
 #[test]
-fn one_that_was_counted_as_dead_tells_its_flows_again() {
+fn an_instance_that_was_declared_dead_readvertises_its_flows() {
     for seed in 0..10 {
         let mut world = world_with_flows(seed);
-        world.set_domain("oeste", DomainState::Out);
-        world.run(Duration::from_secs(5));
-        world.set_domain("oeste", DomainState::InService);
-        world.run(Duration::from_secs(5));
-        world.cut_domain("norte");
-        world.run(Duration::from_secs(4));
+        world.set_domain_state("oeste", DomainState::Out);
+        world.run_for(Duration::from_secs(5));
+        world.set_domain_state("oeste", DomainState::InService);
+        world.run_for(Duration::from_secs(5));
+        world.partition_domain("norte");
+        world.run_for(Duration::from_secs(4));
         world.heal();
-        world.run(Duration::from_secs(10));
-        let held = world.flow_targets();
-        world.end_excuses();
-        world.run(Duration::from_secs(20));
-        assert_eq!(held, world.flow_targets());
+        world.run_for(Duration::from_secs(10));
+        let targets = world.flow_targets();
+        world.forbid_breaks();
+        world.run_for(Duration::from_secs(20));
+        assert_eq!(targets, world.flow_targets());
         assert_unbroken(&world);
     }
 }
 
-/// Flows that belong to a failure domain are held elsewhere since it was out. Their holder is frozen for a moment, and
-/// on waking asks their home whether anyone else has taken them. The home knows nobody but the asker itself; were it to
-/// forget that, the next packet would start the flow anew at another target.
+/// Flows whose home is in a failure domain that was out of service are held by instances of other domains. Their holder
+/// is paused briefly, and asks the home on resuming whether another instance has taken them over. The home has recorded
+/// only the holder that asks; if it dropped that record, the next packet would open the flow anew at another target.
 #[test]
-fn a_home_that_is_asked_by_the_holder_does_not_forget_it() {
+fn a_home_keeps_the_record_of_a_holder_that_asks() {
     for seed in 0..5 {
         for id in [0, 1, 2, 4, 5, 6] {
             let mut world = world_with_flows(seed);
-            world.set_domain("oeste", DomainState::Out);
-            world.run(Duration::from_secs(5));
-            world.set_domain("oeste", DomainState::InService);
+            world.set_domain_state("oeste", DomainState::Out);
+            world.run_for(Duration::from_secs(5));
+            world.set_domain_state("oeste", DomainState::InService);
             // Longer than earlier views are remembered.
-            world.run(Duration::from_secs(45));
+            world.run_for(Duration::from_secs(45));
             world.pause(id, Duration::from_millis(1_700));
-            world.run(Duration::from_millis(1_600));
-            world.end_excuses();
-            world.run(Duration::from_secs(5));
+            world.run_for(Duration::from_millis(1_600));
+            world.forbid_breaks();
+            world.run_for(Duration::from_secs(5));
             assert_unbroken(&world);
         }
     }
 }
 
-/// Two records of one flow: one was abandoned while its instance was cut off, the other is in use. The older one must
-/// not win, or the caller would be moved back to where it has not been for long.
+/// Two instances have a record of one flow: one record went unused while its instance was partitioned off, the other is
+/// in use. The unused one must not win although it is older, or the flow would move back to a target that it left long
+/// ago. Between two records in use the older one wins.
 #[test]
-fn an_abandoned_record_does_not_hold_over_one_in_use() {
-    let note = |age_ms, idle_ms| FlowDescriptor { caller: "10.0.0.1:5".parse().unwrap(), age_ms, idle_ms };
-    let abandoned = note(60_000, 9_000);
-    let in_use = note(8_000, 10);
-    assert!(in_use.supersedes(&abandoned) && !abandoned.supersedes(&in_use));
-    let elder = note(60_000, 20);
-    assert!(elder.supersedes(&in_use) && !in_use.supersedes(&elder));
+fn an_unused_record_does_not_supersede_one_in_use() {
+    let descriptor = |age_ms, idle_ms| FlowDescriptor { caller: "10.0.0.1:5".parse().unwrap(), age_ms, idle_ms };
+    let unused = descriptor(60_000, 9_000);
+    let in_use = descriptor(8_000, 10);
+    assert!(in_use.supersedes(&unused) && !unused.supersedes(&in_use));
+    let older = descriptor(60_000, 20);
+    assert!(older.supersedes(&in_use) && !in_use.supersedes(&older));
 }
 
-/// A platform that is stale, or a peer that is, offers a set that is older than the one in force. What operators have
-/// since changed would be undone; and of two sets with one revision every instance must end with the same.
+/// A stale platform or peer offers a set that is older than the active one. Adopting it would undo the operators'
+/// changes since. Of two different sets with the same revision, all instances must choose the same one, in whichever
+/// order they receive them.
 #[test]
-fn a_set_in_force_never_gives_way_to_an_older_one() {
-    let made = |revision: u64, idle_ms: u64| {
+fn an_active_set_is_never_replaced_by_an_older_one() {
+    let make_set = |revision: u64, idle_ms: u64| {
         let mut set = support::set();
         set.revision = revision;
         set.services[1].idle_ms = idle_ms;
@@ -203,62 +213,62 @@
     let now = Duration::from_secs(1);
     for idle_ms in 1..20 {
         let mut first = Configuration::default();
-        assert_eq!(first.offer(now, made(5, 60_000), &mut invariant_counters), Adoption::Adopted);
-        assert_eq!(first.offer(now, made(4, idle_ms), &mut invariant_counters), Adoption::Stale);
+        assert_eq!(first.offer(now, make_set(5, 60_000), &mut invariant_counters), Adoption::Adopted);
+        assert_eq!(first.offer(now, make_set(4, idle_ms), &mut invariant_counters), Adoption::Stale);
         assert_eq!(first.revision(), 5);
         let mut second = Configuration::default();
-        second.offer(now, made(5, idle_ms), &mut invariant_counters);
-        assert_eq!(first.offer(now, made(5, idle_ms), &mut invariant_counters), Adoption::Clash);
-        assert_eq!(second.offer(now, made(5, 60_000), &mut invariant_counters), Adoption::Clash);
+        second.offer(now, make_set(5, idle_ms), &mut invariant_counters);
+        assert_eq!(first.offer(now, make_set(5, idle_ms), &mut invariant_counters), Adoption::Clash);
+        assert_eq!(second.offer(now, make_set(5, 60_000), &mut invariant_counters), Adoption::Clash);
         assert_eq!(first.catalog().digest(), second.catalog().digest());
     }
 }
 
-/// All nine instances are restarted one after the other, under their old addresses, over a network that loses and
-/// reorders. A caller's flow goes on at its target through all of it.
+/// Guards against flows that change their target when all nine instances are restarted one after the other, under
+/// their old addresses, over a network that loses, duplicates and reorders messages.
 #[test]
 fn a_rolling_restart_breaks_no_flow() {
     let mut world = World::new(3, 9);
-    world.run(Duration::from_secs(6));
+    world.run_for(Duration::from_secs(6));
     world.network = Network { delay_ms: (1, 10), drop: 0.01, duplicate: 0.01 };
     for number in 0..60 {
-        world.flow(number);
+        world.open_flow(number);
     }
-    world.run(Duration::from_secs(2));
+    world.run_for(Duration::from_secs(2));
     for id in 0..9 {
         world.stop(id);
-        world.run(Duration::from_secs(4));
+        world.run_for(Duration::from_secs(4));
         world.start(id);
-        world.run(Duration::from_secs(3));
+        world.run_for(Duration::from_secs(3));
     }
-    world.run(Duration::from_secs(10));
+    world.run_for(Duration::from_secs(10));
     assert!(world.has_converged());
     assert_unbroken(&world);
 }
 
-/// Operators publish while the platform is down for minutes. When it is back, a failure domain that was to be taken
-/// out must fall silent within seconds and not when every reader has waited out its pause.
+/// Operators take a failure domain out of service while the platform is down for minutes. When the platform is back,
+/// traffic to that domain must end within seconds, not only after the retry backoff of each reader.
 #[test]
-fn what_was_published_during_an_outage_is_in_force_soon_after_it() {
+fn a_set_published_during_a_platform_outage_is_adopted_soon_after_it() {
     let mut world = world_with_flows(1);
     world.set_platform_down(true);
-    world.set_domain("sur", DomainState::Out);
-    world.run(Duration::from_mins(5));
+    world.set_domain_state("sur", DomainState::Out);
+    world.run_for(Duration::from_mins(5));
     world.set_platform_down(false);
-    world.run(Duration::from_secs(3));
+    world.run_for(Duration::from_secs(3));
     assert!(world.has_converged());
-    world.run(Duration::from_secs(10));
-    assert_eq!(world.never.late_after_out, 0);
+    world.run_for(Duration::from_secs(10));
+    assert_eq!(world.violations.sent_to_out_domain, 0);
 }
 
-/// A whole failure domain is stopped as planned, both of its instances at once. Its targets go on, and so do their
-/// flows, through instances of the other domains.
+/// Both instances of a failure domain are stopped as planned at once. Its targets keep running, so their flows must
+/// continue through instances of the other domains.
 #[test]
-fn a_domain_without_instances_is_served_through_the_others() {
+fn a_domain_without_instances_is_served_through_other_domains() {
     let mut world = world_with_flows(2);
     world.stop(1);
     world.stop(5);
-    world.run(Duration::from_secs(10));
+    world.run_for(Duration::from_secs(10));
     assert!(world.has_converged());
     assert_eq!(world.ids().len(), 6);
     assert_unbroken(&world);
@@ -267,14 +277,15 @@
     }
 }
 
-/// Targets of a datagram service answer no requests that could prove them warm. Taken for cold for ever, they would
-/// be given a sixty-fourth of the flows that they bear, and the rest would be turned away.
+/// Targets of a datagram service answer no requests, so slow start cannot raise their limits. If they stayed cold
+/// although their health checks report them warm, they would receive 1/64 of the flows that they can handle, and the
+/// rest would be refused.
 #[test]
-fn a_datagram_target_that_says_it_is_warm_counts_as_warm() {
+fn a_datagram_target_that_reports_warm_is_warm() {
     let mut world = World::new(1, 8);
-    world.run(Duration::from_secs(8));
-    let kept: Vec<_> = world.ids().into_iter().flat_map(|id| world.dump(id).kept).collect();
-    let flows: Vec<_> = kept.iter().filter(|kept| kept.name.starts_with("avisos")).collect();
-    assert_eq!(flows.len(), 8);
-    assert!(flows.iter().all(|kept| kept.status == TargetStatus::Warm), "{flows:?}");
+    world.run_for(Duration::from_secs(8));
+    let targets: Vec<_> = world.ids().into_iter().flat_map(|id| world.dump(id).kept).collect();
+    let flow_targets: Vec<_> = targets.iter().filter(|target| target.name.starts_with("avisos")).collect();
+    assert_eq!(flow_targets.len(), 8);
+    assert!(flow_targets.iter().all(|target| target.status == TargetStatus::Warm), "{flow_targets:?}");
 }
--- a/crates/core/tests/requests.rs
+++ b/crates/core/tests/requests.rs
@@ -1,11 +1,11 @@
-//! Failures of requests, each played on purpose.
+//! Regression tests for requests: tickets, cold target groups, restarts, crashes and callers that disconnect.
 
 mod support;
 
 use std::sync::Arc;
 use std::time::Duration;
 
-use support::OrderEnd;
+use support::OrderOutcome;
 use support::World;
 
 use hawthornshift_core::Input;
@@ -25,10 +25,10 @@
     Tickets::new(3, 77, [9; 32], Duration::from_mins(10), 1_000)
 }
 
-/// A caller presents a ticket for another service, with a digit changed, or of another life of the same instance. It
-/// must not run, or a stranger could spend what was issued to somebody else.
+/// Guards against redemption of a ticket by a caller it was not issued to. The ticket is presented for another
+/// service, with one digit changed, and to a later incarnation of the issuing instance; none of these may run.
 #[test]
-fn a_ticket_is_good_only_for_its_service_and_issuer() {
+fn a_ticket_is_valid_only_for_its_service_and_issuer() {
     let mut issuer = tickets();
     let now = Duration::from_secs(1);
     let ticket = issuer.issue(now, 5);
@@ -42,7 +42,8 @@
     assert!(matches!(issuer.present(now, &ticket, 5, 1), PresentOutcome::Run(_)));
 }
 
-/// A caller loses patience and sends the same order again while the first still runs. Both get the one answer.
+/// A caller times out and retries an order while the first attempt still runs. The order must not run twice: the
+/// second request waits and receives the answer to the first.
 #[test]
 fn a_second_request_with_a_running_ticket_waits_for_its_answer() {
     let mut issuer = tickets();
@@ -51,16 +52,18 @@
     let PresentOutcome::Run(serial) = issuer.present(now, &ticket, 5, 1) else { panic!("not redeemed") };
     assert_eq!(issuer.present(now, &ticket, 5, 2), PresentOutcome::Wait);
     let answer = hawthornshift_core::event::StoredAnswer { id: 40, size: 10 };
-    let end = hawthornshift_core::tickets::RunOutcome::Answered(answer);
-    let settlement = issuer.finish_run(serial, end, &mut InvariantCounters::default());
+    let outcome = hawthornshift_core::tickets::RunOutcome::Answered(answer);
+    let settlement = issuer.finish_run(serial, outcome, &mut InvariantCounters::default());
     assert_eq!(settlement.waiting, [2]);
     assert_eq!(issuer.present(now, &ticket, 5, 3), PresentOutcome::Answer(40));
 }
 
-/// A caller comes back for an answer that was dropped to make room, and again after the ticket's time. It is told that
-/// the order ran, later that it has expired, and at last that nobody knows; it never runs again.
+/// Guards against a second run, and against a wrong outcome, when a caller presents a redeemed ticket again. The answer
+/// was evicted because it exceeds the memory limit: the issuer reports that the order ran, also shortly after the
+/// ticket's lifetime has ended. An unused ticket is reported as expired. After the records have been dropped, the
+/// issuer reports for both that it no longer knows whether they ran.
 #[test]
-fn what_a_caller_is_told_after_an_answer_is_gone_stays_true() {
+fn a_redeemed_ticket_never_runs_again_after_its_answer_was_evicted() {
     let mut issuer = tickets();
     let now = Duration::from_secs(1);
     let mut invariant_counters = InvariantCounters::default();
@@ -68,8 +71,8 @@
     let unused = issuer.issue(now, 5);
     let PresentOutcome::Run(serial) = issuer.present(now, &used, 5, 1) else { panic!("not redeemed") };
     let answer = hawthornshift_core::event::StoredAnswer { id: 1, size: 2_000 };
-    let end = hawthornshift_core::tickets::RunOutcome::Answered(answer);
-    assert_eq!(issuer.finish_run(serial, end, &mut invariant_counters).dropped, [1]);
+    let outcome = hawthornshift_core::tickets::RunOutcome::Answered(answer);
+    assert_eq!(issuer.finish_run(serial, outcome, &mut invariant_counters).dropped, [1]);
     assert_eq!(issuer.present(now, &used, 5, 2), PresentOutcome::AnswerGone);
     let later = now + Duration::from_mins(11);
     issuer.expire(later);
@@ -81,10 +84,10 @@
     assert_eq!(issuer.present(much_later, &unused, 5, 2), PresentOutcome::Forgotten);
 }
 
-/// An issuer stops as planned and says which tickets it redeemed. A ticket so old that its redemption had been
-/// forgotten by then must not pass for one that never ran.
+/// An issuer that stops as planned reports which tickets it redeemed. It may have dropped the record of a redemption
+/// before that, so an older ticket that is missing from the report must not count as never redeemed.
 #[test]
-fn the_last_word_of_an_issuer_covers_only_what_it_remembers() {
+fn the_report_of_a_closed_issuer_covers_only_tickets_it_remembers() {
     let mut issuer = tickets();
     let old = issuer.issue(Duration::from_secs(1), 5);
     let now = Duration::from_hours(1);
@@ -93,76 +96,78 @@
     assert!(matches!(issuer.present(now, &redeemed, 5, 1), PresentOutcome::Run(_)));
     let mut other = Tickets::new(4, 80, [1; 32], Duration::from_mins(10), 1_000);
     other.issuer_closed(3, 77, issuer.known_since_ms(now), &issuer.redeemed());
-    let word = |ticket: &str| other.closed_issuer_status(&Ticket::parse(ticket).unwrap());
-    assert_eq!(word(&old), ClosedIssuerStatus::Unknown);
-    assert_eq!(word(&recent), ClosedIssuerStatus::NeverRedeemed);
-    assert_eq!(word(&redeemed), ClosedIssuerStatus::Redeemed);
+    let status = |ticket: &str| other.closed_issuer_status(&Ticket::parse(ticket).unwrap());
+    assert_eq!(status(&old), ClosedIssuerStatus::Unknown);
+    assert_eq!(status(&recent), ClosedIssuerStatus::NeverRedeemed);
+    assert_eq!(status(&redeemed), ClosedIssuerStatus::Redeemed);
 }
 
-/// The shift opens after a night: every target is cold, and all orders come at once. Targets that are given more than
-/// they bear would fall over; callers who cannot be served yet are told so and come back.
+/// Guards against overload of a target group in which every target is cold, as after a night without load, when all
+/// orders arrive at once. No target may receive more than its slow-start limit; callers that cannot be served yet are
+/// refused and retry.
 #[test]
-fn a_group_that_is_cold_at_once_comes_up_without_falling_over() {
+fn a_cold_target_group_warms_up_without_overload() {
     let mut world = World::new(5, 8);
-    world.run(Duration::from_secs(5));
+    world.run_for(Duration::from_secs(5));
     for number in 0..400 {
-        world.order(number);
-        world.run(Duration::from_millis(2));
+        world.send_order(number);
+        world.run_for(Duration::from_millis(2));
     }
-    world.run(Duration::from_secs(30));
+    world.run_for(Duration::from_secs(30));
     world.check_orders();
-    assert_eq!(world.never.cold_overloads, 0);
-    let answered = world.callers.orders.values().filter(|order| order.end == Some(OrderEnd::Answered)).count();
+    assert_eq!(world.violations.cold_overloads, 0);
+    let answered = world.callers.orders.values().filter(|order| order.outcome == Some(OrderOutcome::Answered)).count();
     assert!(answered >= 300, "{answered} of 400 answered");
 }
 
-/// Instances stop as planned and come back while orders run. No order is cut off: each is answered, once.
+/// Guards against orders that are interrupted when instances stop as planned and restart one after the other. Every
+/// order must be answered, and run exactly once.
 #[test]
-fn a_rolling_restart_cuts_off_no_order() {
+fn a_rolling_restart_interrupts_no_order() {
     let mut world = World::new(6, 8);
-    world.run(Duration::from_secs(8));
+    world.run_for(Duration::from_secs(8));
     let mut number = 0;
     for id in 0..8 {
         world.stop(id);
         for _ in 0..600 {
             number += 1;
-            world.order(number);
-            world.run(Duration::from_millis(5));
+            world.send_order(number);
+            world.run_for(Duration::from_millis(5));
         }
         world.start(id);
-        world.run(Duration::from_secs(4));
+        world.run_for(Duration::from_secs(4));
     }
-    world.run(Duration::from_secs(30));
+    world.run_for(Duration::from_secs(30));
     world.check_orders();
     let unanswered: Vec<_> =
-        world.callers.orders.iter().filter(|(_, order)| order.end != Some(OrderEnd::Answered)).collect();
+        world.callers.orders.iter().filter(|(_, order)| order.outcome != Some(OrderOutcome::Answered)).collect();
     assert!(unanswered.is_empty(), "{unanswered:?}");
-    let doubtful = world.callers.orders.values().filter(|order| order.doubtful).count();
-    assert_eq!(doubtful, 0, "a planned stop left callers not knowing");
-    assert_eq!(world.never.slot_overruns, 0);
+    let unknown = world.callers.orders.values().filter(|order| order.is_outcome_unknown).count();
+    assert_eq!(unknown, 0, "a planned stop left orders with an unknown outcome");
+    assert_eq!(world.violations.slot_overruns, 0);
 }
 
-/// The issuer of a ticket crashes while the order runs. Its caller retries through others and is told that it may have
-/// run; it never runs a second time.
+/// The issuer of a ticket crashes while the order runs, and the caller retries through other instances. These cannot
+/// know whether the order ran: they must report that it may have run, and must not run it a second time.
 #[test]
 fn an_order_whose_issuer_crashed_never_runs_again() {
     for seed in 0..20 {
         let mut world = World::new(seed, 8);
-        world.run(Duration::from_secs(8));
+        world.run_for(Duration::from_secs(8));
         for number in 0..40 {
-            world.order(number);
+            world.send_order(number);
         }
-        world.run(Duration::from_millis(230));
+        world.run_for(Duration::from_millis(230));
         world.crash(u32::try_from(seed % 8).unwrap());
-        world.run(Duration::from_mins(1));
+        world.run_for(Duration::from_mins(1));
         world.check_orders();
     }
 }
 
-/// A caller hangs up while its read waits for a slot. Whoever holds the request has to be told that it has ended, or it
-/// is kept for ever: a process that callers hang up on would fill its memory.
+/// Guards against a memory leak when a caller closes its connection while its idempotent request waits for a slot. The
+/// node must emit a reply for the request, because the process holds the request until then.
 #[test]
-fn a_request_whose_caller_has_gone_is_let_go() {
+fn a_request_whose_caller_has_disconnected_is_released() {
     let identity = Identity {
         id: 0,
         incarnation: 1,
--- a/crates/core/tests/support/callers.rs
+++ b/crates/core/tests/support/callers.rs
@@ -1,4 +1,5 @@
-//! What the harness knows of callers: orders that must run once, and flows that must last.
+//! State of the simulated callers: orders, which are non-idempotent requests that must run at most once, and flows,
+//! which must keep their target.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -11,66 +12,67 @@
 /// Number of an order.
 pub type OrderId = u64;
 
-/// How an order ended, as its caller knows it.
+/// Outcome of an order, as reported to its caller.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum OrderEnd {
-    /// With its own answer.
+pub enum OrderOutcome {
+    /// The caller received the answer to this order.
     Answered,
-    /// Refused as not run.
+    /// Every attempt was refused as not run.
     NotRun,
-    /// Nobody knows.
+    /// At least one attempt may have run, and none was answered.
     Unknown,
 }
 
-/// One order of a caller.
+/// An order and its attempts.
 #[derive(Clone, Debug, Default)]
 pub struct Order {
-    /// The ticket in hand.
+    /// The ticket that the next attempt presents; `None` until a refusal has issued one.
     pub ticket: Option<String>,
-    /// Tries so far.
+    /// Number of attempts that the caller has sent so far.
     pub tries: u32,
-    /// How it ended.
-    pub end: Option<OrderEnd>,
-    /// How often targets ran it.
+    /// The outcome; `None` while attempts continue.
+    pub outcome: Option<OrderOutcome>,
+    /// Number of times that targets ran it.
     pub runs: u32,
-    /// Whether any try said "may have run" or was never answered.
-    pub doubtful: bool,
-    /// Why a try was said to may have run.
-    pub doubts: Vec<Reason>,
+    /// Whether any attempt was refused as possibly run, or timed out.
+    pub is_outcome_unknown: bool,
+    /// Reasons of the refusals that report an attempt as possibly run.
+    pub unknown_reasons: Vec<Reason>,
 }
 
-/// One flow of a caller.
+/// A flow and what its caller observed.
 #[derive(Clone, Debug)]
 pub struct Flow {
-    /// The caller's address, which names the flow.
+    /// The caller's address, which identifies the flow.
     pub caller: SocketAddr,
-    /// The target that answered first.
+    /// The target whose answers the caller receives; `None` until the first answer.
     pub target: Option<SocketAddr>,
-    /// The instance whose packet the target last answered.
+    /// The instance from which a target last received a packet of the flow.
     pub holder: Option<InstanceId>,
-    /// Packets sent and answered.
+    /// Packets sent.
     pub sent: u64,
     /// Packets answered.
     pub answered: u64,
-    /// When the last answer came.
+    /// Time of the last answer.
     pub last_answer: Timestamp,
-    /// Whether something other than a planned change has touched it, so that it may break.
-    pub excused: bool,
-    /// Until when it may change its target, since a failure domain it has been in was taken out or came back.
-    pub excused_until: Timestamp,
-    /// Failure domains of the targets it has been at.
-    pub homes: BTreeSet<String>,
-    /// What broke it.
+    /// Whether its holder crashed or was paused, so that the flow may change its target once.
+    pub is_break_allowed: bool,
+    /// Time until which the flow may change its target: a failure domain of its targets was taken out of service or
+    /// returned, or a partition has healed.
+    pub break_allowed_until: Timestamp,
+    /// Failure domains of the targets that have received its packets.
+    pub target_domains: BTreeSet<String>,
+    /// Description of the first change of target that was not allowed.
     pub broken: Option<String>,
-    /// Whether its failure domain was taken out.
-    pub given_up: bool,
+    /// Whether the failure domain of its target was taken out of service, so that the instances may abandon the flow.
+    pub is_abandoned: bool,
 }
 
-/// All that callers know.
+/// State of all callers.
 #[derive(Clone, Debug, Default)]
 pub struct Callers {
     /// Orders by number.
     pub orders: BTreeMap<OrderId, Order>,
-    /// Flows by caller.
+    /// Flows by the caller's address.
     pub flows: BTreeMap<SocketAddr, Flow>,
 }
--- a/crates/core/tests/support/faults.rs
+++ b/crates/core/tests/support/faults.rs
@@ -1,4 +1,4 @@
-//! What operators and misfortune do to the world, as data that `proptest` can make and shrink.
+//! Planned changes and faults of the simulation, as values that `proptest` generates and shrinks.
 
 use std::time::Duration;
 
@@ -16,64 +16,72 @@
 use hawthornshift_model::DomainState;
 use hawthornshift_model::InstanceId;
 
-/// Instances that a world starts with; two more may join.
+/// Number of instances that a randomized test starts with; scenarios may start two more.
 pub const INSTANCES: u32 = 8;
-/// Instances that must be left, so that there is someone to serve.
-const LEAST: usize = 3;
+/// Number of instances that scenarios leave running, so that callers can still be served.
+const MIN_INSTANCES: usize = 3;
 
-/// One thing that happens.
+/// One planned change or fault.
 #[derive(Clone, Copy, Debug)]
 pub enum Fault {
     Stop(InstanceId),
     Start(InstanceId),
     Crash(InstanceId),
+    /// Pauses an instance for the given number of milliseconds.
     Pause(InstanceId, u64),
-    Cut(InstanceId, InstanceId),
-    CutDomain(usize),
+    Disconnect(InstanceId, InstanceId),
+    /// Partitions off the failure domain at this index of `sets::DOMAINS`.
+    PartitionDomain(usize),
+    /// Ends all partitions.
     Heal,
+    /// Sets whether the platform is down.
     PlatformDown(bool),
+    /// Takes the failure domain at this index out of service.
     DomainOut(usize),
+    /// Returns the failure domain at this index to service.
     DomainBack(usize),
-    LeaveTarget(usize),
-    Chill,
+    /// Marks a datagram target and an HTTP target, chosen by this number, as leaving.
+    MarkTargetsLeaving(usize),
+    MakeTargetsCold,
+    /// Publishes the current set under the next revision.
     Publish,
 }
 
 impl Fault {
-    /// Has it happen, unless it makes no sense now.
-    pub fn strike(self, world: &mut World) {
+    /// Applies the fault to the simulation; does nothing if it is not applicable in the current state.
+    pub fn apply(self, world: &mut World) {
         match self {
-            Self::Stop(id) if can_spare(world, id) => world.stop(id),
-            Self::Crash(id) if can_spare(world, id) => world.crash(id),
+            Self::Stop(id) if can_remove(world, id) => world.stop(id),
+            Self::Crash(id) if can_remove(world, id) => world.crash(id),
             Self::Start(id) if !world.ids().contains(&id) => world.start(id),
-            Self::Pause(id, millis) if can_spare(world, id) => world.pause(id, Duration::from_millis(millis)),
-            Self::Cut(a, b) if a != b => world.cut(a, b),
-            Self::CutDomain(index) => world.cut_domain(sets::DOMAINS[index]),
+            Self::Pause(id, millis) if can_remove(world, id) => world.pause(id, Duration::from_millis(millis)),
+            Self::Disconnect(a, b) if a != b => world.disconnect(a, b),
+            Self::PartitionDomain(index) => world.partition_domain(sets::DOMAINS[index]),
             Self::Heal => world.heal(),
             Self::PlatformDown(down) => world.set_platform_down(down),
-            Self::DomainOut(index) if domains_out(world) == 0 => {
-                world.set_domain(sets::DOMAINS[index], DomainState::Out);
+            Self::DomainOut(index) if out_domain_count(world) == 0 => {
+                world.set_domain_state(sets::DOMAINS[index], DomainState::Out);
             }
-            Self::DomainBack(index) => world.set_domain(sets::DOMAINS[index], DomainState::InService),
-            Self::LeaveTarget(index) => leave_target(world, index),
-            Self::Chill => world.chill_all(),
+            Self::DomainBack(index) => world.set_domain_state(sets::DOMAINS[index], DomainState::InService),
+            Self::MarkTargetsLeaving(index) => mark_targets_leaving(world, index),
+            Self::MakeTargetsCold => world.make_targets_cold(),
             Self::Publish => world.publish(),
             _ => {}
         }
     }
 }
 
-fn can_spare(world: &World, id: InstanceId) -> bool {
+fn can_remove(world: &World, id: InstanceId) -> bool {
     let ids = world.ids();
-    ids.contains(&id) && ids.len() > LEAST
+    ids.contains(&id) && ids.len() > MIN_INSTANCES
 }
 
-fn domains_out(world: &World) -> usize {
+fn out_domain_count(world: &World) -> usize {
     world.set.failure_domains.iter().filter(|domain| domain.state == DomainState::Out).count()
 }
 
-/// Marks one flow target and one HTTP target as leaving; enough stay in each failure domain.
-fn leave_target(world: &mut World, index: usize) {
+/// Marks one datagram target and one HTTP target as leaving; each failure domain keeps enough others.
+fn mark_targets_leaving(world: &mut World, index: usize) {
     world.set.target_groups[1].targets[index % sets::DOMAINS.len()].leaving = true;
     world.set.target_groups[0].targets[index % 2].leaving = true;
     world.publish();
@@ -83,60 +91,65 @@
     0..INSTANCES + 2
 }
 
-/// What operators do.
-pub fn planned() -> impl Strategy<Value = Fault> {
+/// Generates planned changes by operators.
+pub fn planned_change() -> impl Strategy<Value = Fault> {
     prop_oneof![
         3 => instance().prop_map(Fault::Stop),
         3 => instance().prop_map(Fault::Start),
         1 => (0..4_usize).prop_map(Fault::DomainOut),
         2 => (0..4_usize).prop_map(Fault::DomainBack),
-        1 => (0..4_usize).prop_map(Fault::LeaveTarget),
+        1 => (0..4_usize).prop_map(Fault::MarkTargetsLeaving),
         1 => proptest::strategy::Just(Fault::Publish),
     ]
 }
 
-/// What operators do, and misfortune besides.
+/// Generates planned changes and faults.
 pub fn any_fault() -> impl Strategy<Value = Fault> {
     prop_oneof![
-        6 => planned(),
+        6 => planned_change(),
         2 => instance().prop_map(Fault::Crash),
         2 => (instance(), 100..6_000_u64).prop_map(|(id, millis)| Fault::Pause(id, millis)),
-        1 => (instance(), instance()).prop_map(|(a, b)| Fault::Cut(a, b)),
-        1 => (0..4_usize).prop_map(Fault::CutDomain),
+        1 => (instance(), instance()).prop_map(|(a, b)| Fault::Disconnect(a, b)),
+        1 => (0..4_usize).prop_map(Fault::PartitionDomain),
         2 => proptest::strategy::Just(Fault::Heal),
         1 => any::<bool>().prop_map(Fault::PlatformDown),
-        1 => proptest::strategy::Just(Fault::Chill),
+        1 => proptest::strategy::Just(Fault::MakeTargetsCold),
     ]
 }
 
-/// One run: a seed, a network, and what happens after which pause in milliseconds.
+/// Input of one randomized test case: a seed, a network, and faults, each with the delay in milliseconds before it.
 #[derive(Clone, Debug)]
-pub struct Run {
+pub struct Scenario {
     pub seed: u64,
     pub network: Network,
     pub faults: Vec<(u64, Fault)>,
 }
 
-/// Makes runs of `count` faults, with up to `gap` milliseconds between two.
-pub fn runs(fault: impl Strategy<Value = Fault>, count: usize, gap: u64) -> impl Strategy<Value = Run> {
+/// Generates scenarios of fewer than `count` faults, each after a delay of less than `gap_ms` milliseconds.
+pub fn scenarios(fault: impl Strategy<Value = Fault>, count: usize, gap_ms: u64) -> impl Strategy<Value = Scenario> {
     let network = (1..3_u64, 3..40_u64, 0.0..0.03_f64, 0.0..0.03_f64)
-        .prop_map(|(least, most, drop, duplicate)| Network { delay_ms: (least, most), drop, duplicate });
-    let faults = proptest::collection::vec((0..gap, fault), 1..count);
-    (any::<u64>(), network, faults).prop_map(|(seed, network, faults)| Run { seed, network, faults })
+        .prop_map(|(min_ms, max_ms, drop, duplicate)| Network { delay_ms: (min_ms, max_ms), drop, duplicate });
+    let faults = proptest::collection::vec((0..gap_ms, fault), 1..count);
+    (any::<u64>(), network, faults).prop_map(|(seed, network, faults)| Scenario { seed, network, faults })
 }
 
-/// Plays runs made by `strategy`, the same ones each time.
+/// Runs `check` on `cases` scenarios that `strategy` generates from a fixed seed.
 ///
-/// `HAWTHORNSHIFT_CASES` sets another number of runs and `HAWTHORNSHIFT_SEED` other runs.
-pub fn play(cases: u32, strategy: &impl Strategy<Value = Run>, check: impl Fn(Run)) {
+/// The environment variables `HAWTHORNSHIFT_CASES` and `HAWTHORNSHIFT_SEED` override the number of scenarios and the
+/// seed (default 1).
+///
+/// # Panics
+///
+/// Panics with the shrunk scenario if `check` panics on any.
+pub fn check_scenarios(cases: u32, strategy: &impl Strategy<Value = Scenario>, check: impl Fn(Scenario)) {
     let number = |name: &str| std::env::var(name).ok().and_then(|text| text.parse().ok());
     let cases = number("HAWTHORNSHIFT_CASES").and_then(|cases: u64| cases.try_into().ok()).unwrap_or(cases);
     let mut seed = [0; 32];
     seed[..8].copy_from_slice(&number("HAWTHORNSHIFT_SEED").unwrap_or(1).to_le_bytes());
     let config = Config { cases, failure_persistence: None, max_shrink_iters: 200, ..Config::default() };
     let mut runner = TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &seed));
-    let outcome = runner.run(strategy, |run| {
-        check(run);
+    let outcome = runner.run(strategy, |scenario| {
+        check(scenario);
         Ok(())
     });
     if let Err(error) = outcome {
--- a/crates/core/tests/support/mod.rs
+++ b/crates/core/tests/support/mod.rs
@@ -1,8 +1,8 @@
-//! A handful of nodes joined by a small message queue that delays, reorders, duplicates and drops.
+//! A deterministic simulation of several nodes over a network that delays, reorders, duplicates and drops messages.
 //!
-//! Time is virtual and every choice comes from one seed, so that a run is the same each time. The harness plays the
-//! platform, the targets and the callers, keeps its own ledger of what ran, and asks at the end whether caller and
-//! target agree.
+//! Time is virtual and all random choices derive from one seed, so a run is reproducible. The harness simulates the
+//! platform, the targets and the callers. It records which orders the targets ran, and a test compares that at the end
+//! with the outcomes that the callers received.
 #![allow(dead_code, unused_imports, unreachable_pub, reason = "each test file uses its own part of the harness")]
 
 pub mod callers;
@@ -10,7 +10,7 @@
 pub mod sets;
 pub mod world;
 
-pub use self::callers::OrderEnd;
+pub use self::callers::OrderOutcome;
 pub use self::sets::set;
 pub use self::world::Network;
 pub use self::world::World;
--- a/crates/core/tests/support/sets.rs
+++ b/crates/core/tests/support/sets.rs
@@ -1,4 +1,4 @@
-//! Sets for tests: four failure domains, an HTTP service of 14 targets and a datagram service of 8.
+//! The published set of the tests: four failure domains, an HTTP service with 14 targets and a datagram service with 8.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddr;
@@ -15,11 +15,11 @@
 /// Names of the failure domains.
 pub const DOMAINS: [&str; 4] = ["norte", "sur", "este", "oeste"];
 /// Name of the HTTP service.
-pub const ORDERS: &str = "suscripciones";
+pub const HTTP_SERVICE: &str = "suscripciones";
 /// Name of the datagram service.
-pub const FLOWS: &str = "avisos";
+pub const DATAGRAM_SERVICE: &str = "avisos";
 
-/// Returns the address of an instance's control or forwarding port.
+/// Returns an instance's address with the given port: 1 is its control port, 2 its forwarding port.
 pub fn instance_address(id: u32, port: u16) -> SocketAddr {
     SocketAddr::from((Ipv4Addr::new(10, 0, 1, u8::try_from(id).unwrap()), port))
 }
@@ -42,11 +42,11 @@
     TargetGroup { name: name.to_owned(), targets: (0..count).map(target).collect() }
 }
 
-fn service(name: &str, protocol: Protocol, last: u8, class: Class, peak_slots: u32) -> Service {
+fn service(name: &str, protocol: Protocol, last_octet: u8, class: Class, peak_slots: u32) -> Service {
     Service {
         name: name.to_owned(),
         protocol,
-        address: SocketAddr::from((Ipv4Addr::new(10, 0, 0, last), 80)),
+        address: SocketAddr::from((Ipv4Addr::new(10, 0, 0, last_octet), 80)),
         target_group: name.to_owned(),
         class,
         peak_slots,
@@ -55,7 +55,7 @@
     }
 }
 
-/// Returns the set that tests start from.
+/// Returns the set that is published when a test starts, with revision 1.
 pub fn set() -> PublishedSet {
     let domain = |name: &&str| FailureDomain {
         name: (*name).to_owned(),
@@ -65,10 +65,10 @@
     PublishedSet {
         revision: 1,
         failure_domains: DOMAINS.iter().map(domain).collect(),
-        target_groups: vec![group(ORDERS, 14, 2), group(FLOWS, 8, 3)],
+        target_groups: vec![group(HTTP_SERVICE, 14, 2), group(DATAGRAM_SERVICE, 8, 3)],
         services: vec![
-            service(ORDERS, Protocol::Http, 1, Class::Critical, 6),
-            service(FLOWS, Protocol::Datagram, 2, Class::Normal, 0),
+            service(HTTP_SERVICE, Protocol::Http, 1, Class::Critical, 6),
+            service(DATAGRAM_SERVICE, Protocol::Datagram, 2, Class::Normal, 0),
         ],
     }
 }
--- a/crates/core/tests/support/world.rs
+++ b/crates/core/tests/support/world.rs
@@ -1,4 +1,4 @@
-//! The world of the randomised runs.
+//! The simulated deployment: nodes, network, platform, targets and callers, driven by one queue of timed events.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -17,8 +17,8 @@
 use super::callers::Callers;
 use super::callers::Flow;
 use super::callers::Order;
-use super::callers::OrderEnd;
 use super::callers::OrderId;
+use super::callers::OrderOutcome;
 use super::sets;
 use hawthornshift_core::Input;
 use hawthornshift_core::Node;
@@ -51,29 +51,29 @@
 use hawthornshift_model::TargetId;
 use hawthornshift_model::Verdict;
 
-/// Answers that a cold target must have given before it is warm.
+/// Number of answers after which a cold target reports itself as warm.
 const ANSWERS_TO_WARM: u32 = 10;
 /// Time between two packets of a flow.
-const FLOW_PACE: Duration = Duration::from_millis(100);
-/// Tries of one order at most.
+const FLOW_PACKET_INTERVAL: Duration = Duration::from_millis(100);
+/// Maximum number of attempts for one order.
 const MAX_TRIES: u32 = 8;
-/// Time after which a caller that hears nothing tries again.
-const CALLER_PATIENCE: Duration = Duration::from_secs(5);
-/// Time after which the fabric notices that an instance is stopping.
-const FABRIC_LAG: Duration = Duration::from_millis(500);
-/// Time after a partition has healed by which the two halves of a split flow must be one again.
-const HEALING: Duration = Duration::from_secs(10);
-/// Time after which a failure domain that was taken out must be silent.
-const OUT_GRACE: Duration = Duration::from_secs(3);
-
-/// What the network does to messages.
+/// Time after which a caller that has received no reply retries.
+const CALLER_TIMEOUT: Duration = Duration::from_secs(5);
+/// Time after which the fabric stops sending requests to an instance that is stopping.
+const FABRIC_DETECTION_DELAY: Duration = Duration::from_millis(500);
+/// Time after the end of a partition within which instances that hold the same flow must have agreed on its target.
+const FLOW_MERGE_LIMIT: Duration = Duration::from_secs(10);
+/// Time after which a failure domain that was taken out of service must not receive packets or requests any more.
+const OUT_DOMAIN_GRACE: Duration = Duration::from_secs(3);
+
+/// Delay and loss of the simulated network.
 #[derive(Clone, Copy, Debug)]
 pub struct Network {
-    /// Shortest and longest delay in milliseconds; a range reorders.
+    /// Shortest and longest delay in milliseconds; messages are reordered if they differ.
     pub delay_ms: (u64, u64),
-    /// Share of messages and packets that are lost.
+    /// Probability from 0 to 1 that a message or packet is lost.
     pub drop: f64,
-    /// Share of messages and packets that come twice.
+    /// Probability from 0 to 1 that a message or packet is delivered twice.
     pub duplicate: f64,
 }
 
@@ -87,11 +87,11 @@
 enum Event {
     Tick {
         id: InstanceId,
-        life: u64,
+        epoch: u64,
     },
     Deliver {
         id: InstanceId,
-        life: u64,
+        epoch: u64,
         input: Box<Input>,
     },
     Message {
@@ -99,20 +99,20 @@
         from: InstanceId,
         envelope: Box<Envelope>,
     },
-    Forwarded {
+    ForwardedPacket {
         address: SocketAddr,
         head: ForwardedPacketHeader,
     },
-    AtTarget {
+    PacketAtTarget {
         target: SocketAddr,
         service: ServiceId,
         caller: SocketAddr,
         from: InstanceId,
         local_port: LocalPort,
     },
-    Pass {
+    ForwardedRequest {
         from: InstanceId,
-        life: u64,
+        epoch: u64,
         request: RequestId,
         address: SocketAddr,
         to: InstanceId,
@@ -120,14 +120,14 @@
     },
     Execute {
         id: InstanceId,
-        life: u64,
+        epoch: u64,
         request: RequestId,
         attempt: AttemptNumber,
         target: SocketAddr,
     },
-    TargetDone {
+    ExecutionFinished {
         id: InstanceId,
-        life: u64,
+        epoch: u64,
         request: RequestId,
         attempt: AttemptNumber,
         target: SocketAddr,
@@ -135,7 +135,7 @@
     TryOrder {
         order: OrderId,
     },
-    OrderSilent {
+    OrderTimeout {
         order: OrderId,
         tries: u32,
     },
@@ -144,23 +144,24 @@
     },
 }
 
-/// For whom an instance handles a request.
+/// Sender of a request that an instance handles.
 #[derive(Clone, Copy, Debug)]
 enum Origin {
     Caller { order: OrderId, tries: u32 },
-    Peer { from: InstanceId, life: u64, request: RequestId },
+    Peer { from: InstanceId, epoch: u64, request: RequestId },
 }
 
 struct Host {
     node: Node,
-    life: u64,
+    /// Number of the start of this instance; events for an earlier one are discarded.
+    epoch: u64,
     paused_until: Timestamp,
-    /// Since when it stops as planned.
+    /// Time at which a planned stop began.
     stopping: Option<Timestamp>,
     next_request: RequestId,
     origins: BTreeMap<RequestId, (Origin, OrderId)>,
     answers: BTreeMap<u64, OrderId>,
-    watches: Vec<PlatformRead>,
+    pending_reads: Vec<PlatformRead>,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -171,98 +172,99 @@
     out_since: Option<Timestamp>,
 }
 
-/// Counts of what must never be, by the targets' own account.
+/// Counts of violations that the targets observed; all must stay zero.
 #[derive(Clone, Debug, Default)]
-pub struct Never {
-    /// Requests beyond what a cold target bears.
+pub struct Violations {
+    /// Requests in excess of the one that a cold target can run at a time.
     pub cold_overloads: u64,
-    /// Requests beyond the slots of a warm target.
+    /// Requests in excess of the slots of a warm target.
     pub slot_overruns: u64,
-    /// Packets at a target of another service.
+    /// Packets that arrived at a target of another service.
     pub wrong_service: u64,
-    /// Packets and requests in a failure domain that has long been out.
-    pub late_after_out: u64,
+    /// Packets and requests that arrived in a failure domain more than `OUT_DOMAIN_GRACE` after it was taken out of
+    /// service, while all instances could reach each other and the platform.
+    pub sent_to_out_domain: u64,
 }
 
-/// Everything that runs.
+/// The simulation, with all of its state.
 pub struct World {
     pub now: Timestamp,
     pub callers: Callers,
-    pub never: Never,
+    pub violations: Violations,
     pub network: Network,
     pub set: PublishedSet,
-    /// A flow whose every step is printed, to find out how a run failed.
-    pub trace: Option<SocketAddr>,
+    /// Caller of a flow whose inputs and outputs at the nodes are printed, to debug a failed test.
+    pub traced_flow: Option<SocketAddr>,
     queue: BinaryHeap<Reverse<(Timestamp, u64)>>,
     events: BTreeMap<u64, Event>,
     next_event: u64,
     rng: SmallRng,
     hosts: BTreeMap<InstanceId, Host>,
-    lives: u64,
+    last_epoch: u64,
     list_version: u64,
     platform_down: bool,
-    cuts: BTreeSet<(InstanceId, InstanceId)>,
-    platform_cut: BTreeSet<InstanceId>,
-    /// Since when every instance can learn what is published.
-    news_since: Timestamp,
+    disconnected_pairs: BTreeSet<(InstanceId, InstanceId)>,
+    disconnected_from_platform: BTreeSet<InstanceId>,
+    /// Time since which the platform has been up and reachable from all instances, if it is now.
+    platform_reachable_since: Timestamp,
     targets: BTreeMap<SocketAddr, TargetState>,
     tuning: Tuning,
 }
 
 impl World {
-    /// Starts `count` instances on a platform that publishes the test set.
+    /// Starts `count` instances with the default tuning, on a platform that publishes the test set.
     pub fn new(seed: u64, count: u32) -> Self {
         Self::with_tuning(seed, count, Tuning::default())
     }
 
-    /// Starts `count` instances with other times and limits.
+    /// Starts `count` instances with the given tuning, on a platform that publishes the test set.
     pub fn with_tuning(seed: u64, count: u32, tuning: Tuning) -> Self {
         let mut world = Self {
             now: Timestamp::from_secs(1),
             callers: Callers::default(),
-            never: Never::default(),
+            violations: Violations::default(),
             network: Network::default(),
             set: sets::set(),
-            trace: None,
+            traced_flow: None,
             queue: BinaryHeap::new(),
             events: BTreeMap::new(),
             next_event: 0,
             rng: SmallRng::seed_from_u64(seed),
             hosts: BTreeMap::new(),
-            lives: 0,
+            last_epoch: 0,
             list_version: 1,
             platform_down: false,
-            cuts: BTreeSet::new(),
-            platform_cut: BTreeSet::new(),
-            news_since: Timestamp::ZERO,
+            disconnected_pairs: BTreeSet::new(),
+            disconnected_from_platform: BTreeSet::new(),
+            platform_reachable_since: Timestamp::ZERO,
             targets: BTreeMap::new(),
             tuning,
         };
-        world.adopt_targets();
+        world.add_new_targets();
         for id in 0..count {
             world.start(id);
         }
         world
     }
 
-    fn adopt_targets(&mut self) {
+    fn add_new_targets(&mut self) {
         for group in &self.set.target_groups {
             for target in &group.targets {
-                let cold = group.name == sets::ORDERS;
-                let fresh = TargetState { cold, ..TargetState::default() };
-                self.targets.entry(target.address).or_insert(fresh);
+                let cold = group.name == sets::HTTP_SERVICE;
+                let new_target = TargetState { cold, ..TargetState::default() };
+                self.targets.entry(target.address).or_insert(new_target);
             }
         }
     }
 
-    // What operators and misfortune do.
+    // Planned changes and faults.
 
-    /// Starts an instance, also one that has stopped or crashed before.
+    /// Starts an instance, under a new incarnation if it has run before.
     pub fn start(&mut self, id: InstanceId) {
-        self.lives += 1;
+        self.last_epoch += 1;
         let identity = Identity {
             id,
-            incarnation: 1_000 + self.lives,
+            incarnation: 1_000 + self.last_epoch,
             failure_domain: sets::domain_of(id).to_owned(),
             control: sets::instance_address(id, 1),
             forward: sets::instance_address(id, 2),
@@ -270,98 +272,98 @@
         let node = Node::new(self.now, identity, self.tuning.clone(), self.rng.random(), self.rng.random());
         let host = Host {
             node,
-            life: self.lives,
+            epoch: self.last_epoch,
             paused_until: Timestamp::ZERO,
             stopping: None,
             next_request: 0,
             origins: BTreeMap::new(),
             answers: BTreeMap::new(),
-            watches: Vec::new(),
+            pending_reads: Vec::new(),
         };
         self.hosts.insert(id, host);
         self.list_version += 1;
-        self.after(Duration::ZERO, Event::Tick { id, life: self.lives });
-        self.wake_watches();
+        self.schedule(Duration::ZERO, Event::Tick { id, epoch: self.last_epoch });
+        self.answer_pending_reads();
     }
 
-    /// Has an instance stop as planned.
+    /// Begins a planned stop of an instance.
     pub fn stop(&mut self, id: InstanceId) {
         let now = self.now;
         if let Some(host) = self.hosts.get_mut(&id) {
             host.stopping.get_or_insert(now);
-            let life = host.life;
-            self.after(Duration::ZERO, Event::Deliver { id, life, input: Box::new(Input::Stop) });
+            let epoch = host.epoch;
+            self.schedule(Duration::ZERO, Event::Deliver { id, epoch, input: Box::new(Input::Stop) });
         }
     }
 
-    /// Ends an instance without a word.
+    /// Removes an instance at once, without a planned stop.
     pub fn crash(&mut self, id: InstanceId) {
         let Some(host) = self.hosts.remove(&id) else { return };
         self.list_version += 1;
-        self.excuse(id);
-        // Whoever has passed a request there sees the connection break.
+        self.allow_breaks(id);
+        // The connections break over which peers have forwarded requests to it.
         for (origin, _) in host.origins.into_values() {
-            let Origin::Peer { from, life, request } = origin else { continue };
+            let Origin::Peer { from, epoch, request } = origin else { continue };
             let input = Box::new(Input::ForwardedRequestFailed { request, verdict: Verdict::MayHaveRun });
-            self.after(Duration::from_millis(1), Event::Deliver { id: from, life, input });
+            self.schedule(Duration::from_millis(1), Event::Deliver { id: from, epoch, input });
         }
     }
 
-    /// Freezes an instance for a while.
+    /// Pauses an instance; it handles its inputs when the pause ends.
     pub fn pause(&mut self, id: InstanceId, time: Duration) {
         let until = self.now + time;
         if let Some(host) = self.hosts.get_mut(&id) {
             host.paused_until = host.paused_until.max(until);
-            self.excuse(id);
+            self.allow_breaks(id);
         }
     }
 
-    /// Cuts two instances off from each other.
-    pub fn cut(&mut self, a: InstanceId, b: InstanceId) {
-        self.cuts.insert((a.min(b), a.max(b)));
+    /// Disconnects two instances from each other.
+    pub fn disconnect(&mut self, a: InstanceId, b: InstanceId) {
+        self.disconnected_pairs.insert((a.min(b), a.max(b)));
     }
 
-    /// Cuts a failure domain off from all others and from the platform.
-    pub fn cut_domain(&mut self, domain: &str) {
+    /// Partitions the instances of a failure domain off from all others and from the platform.
+    pub fn partition_domain(&mut self, domain: &str) {
         let ids: Vec<InstanceId> = (0..16).collect();
         let (inside, outside): (Vec<InstanceId>, Vec<InstanceId>) =
             ids.into_iter().partition(|id| sets::domain_of(*id) == domain);
         for a in &inside {
             for b in &outside {
-                self.cut(*a, *b);
+                self.disconnect(*a, *b);
             }
-            self.platform_cut.insert(*a);
+            self.disconnected_from_platform.insert(*a);
         }
     }
 
-    /// Heals all cuts.
+    /// Ends all partitions.
     pub fn heal(&mut self) {
-        let healed = !self.cuts.is_empty();
-        self.cuts.clear();
-        self.platform_cut.clear();
-        self.news_since = self.now;
+        let healed = !self.disconnected_pairs.is_empty();
+        self.disconnected_pairs.clear();
+        self.disconnected_from_platform.clear();
+        self.platform_reachable_since = self.now;
         for flow in self.callers.flows.values_mut().filter(|_| healed) {
-            flow.excused_until = self.now + HEALING;
+            flow.break_allowed_until = self.now + FLOW_MERGE_LIMIT;
         }
     }
 
-    /// Takes the platform down or up.
+    /// Sets whether the platform is down.
     pub fn set_platform_down(&mut self, down: bool) {
         self.platform_down = down;
-        self.news_since = self.now;
-        self.wake_watches();
+        self.platform_reachable_since = self.now;
+        self.answer_pending_reads();
     }
 
-    /// Publishes the set as it stands, under the next revision.
+    /// Publishes the current set under the next revision.
     pub fn publish(&mut self) {
         self.set.revision += 1;
-        CheckedSet::new(self.set.clone()).expect("a test publishes only sound sets");
-        self.adopt_targets();
-        self.wake_watches();
+        CheckedSet::new(self.set.clone()).expect("a test published an invalid set");
+        self.add_new_targets();
+        self.answer_pending_reads();
     }
 
-    /// Takes a failure domain out of service or back.
-    pub fn set_domain(&mut self, name: &str, state: DomainState) {
+    /// Publishes a new state of a failure domain.
+    pub fn set_domain_state(&mut self, name: &str, state: DomainState) {
         for domain in self.set.failure_domains.iter_mut().filter(|domain| domain.name == name) {
             domain.state = state;
         }
@@ -373,40 +375,40 @@
                 target.out_since = out_since;
             }
         }
-        // One that comes back at once is seen to leave by some instances and not by others; its flows may be given up
-        // late, but only those.
-        let quick = state == DomainState::InService;
+        // If a failure domain returns quickly, only some instances have seen it out of service. The flows that these
+        // abandoned may still change their target after its return, but no other flows may.
+        let has_returned = state == DomainState::InService;
         for flow in self.callers.flows.values_mut() {
             let inside = flow.target.is_some_and(|target| addresses.contains(&target));
-            flow.given_up |= inside && !quick;
-            if inside || flow.homes.contains(name) {
-                flow.excused_until = self.now + OUT_GRACE;
+            flow.is_abandoned |= inside && !has_returned;
+            if inside || flow.target_domains.contains(name) {
+                flow.break_allowed_until = self.now + OUT_DOMAIN_GRACE;
             }
         }
     }
 
-    /// Returns the addresses of a failure domain's targets.
+    /// Returns the addresses of the targets in a failure domain.
     pub fn addresses_in(&self, domain: &str) -> Vec<SocketAddr> {
         let targets = self.set.target_groups.iter().flat_map(|group| &group.targets);
         targets.filter(|target| target.failure_domain == domain).map(|target| target.address).collect()
     }
 
-    /// Ends all excuses: from here on no flow may change its target.
-    pub fn end_excuses(&mut self) {
+    /// Ends all permissions to change the target: any later change counts as a broken flow.
+    pub fn forbid_breaks(&mut self) {
         for flow in self.callers.flows.values_mut() {
-            flow.excused = false;
-            flow.excused_until = Timestamp::ZERO;
-            flow.given_up = false;
+            flow.is_break_allowed = false;
+            flow.break_allowed_until = Timestamp::ZERO;
+            flow.is_abandoned = false;
         }
     }
 
-    /// Returns the target of each flow.
+    /// Returns the target of each flow, ordered by the caller's address.
     pub fn flow_targets(&self) -> Vec<Option<SocketAddr>> {
         self.callers.flows.values().map(|flow| flow.target).collect()
     }
 
-    /// Makes every HTTP target cold.
-    pub fn chill_all(&mut self) {
+    /// Makes every HTTP target cold, as after a restart.
+    pub fn make_targets_cold(&mut self) {
         for target in self.set.target_groups[0].targets.clone() {
             if let Some(state) = self.targets.get_mut(&target.address) {
                 state.cold = true;
@@ -415,23 +417,23 @@
         }
     }
 
-    /// A flow whose holder was touched by more than a planned change may break.
-    fn excuse(&mut self, id: InstanceId) {
+    /// Allows the flows of an instance that crashed or was paused to break, and those without a holder yet.
+    fn allow_breaks(&mut self, id: InstanceId) {
         for flow in self.callers.flows.values_mut().filter(|flow| flow.holder == Some(id) || flow.holder.is_none()) {
-            flow.excused = true;
+            flow.is_break_allowed = true;
         }
     }
 
-    // What callers do.
+    // Callers.
 
-    /// Sends a non-idempotent request, tried again until its end is known or patience ends.
-    pub fn order(&mut self, order: OrderId) {
+    /// Sends a non-idempotent request, and retries it until it is answered or `MAX_TRIES` is reached.
+    pub fn send_order(&mut self, order: OrderId) {
         self.callers.orders.insert(order, Order::default());
-        self.after(Duration::ZERO, Event::TryOrder { order });
+        self.schedule(Duration::ZERO, Event::TryOrder { order });
     }
 
-    /// Opens a flow that sends packets for as long as the world runs.
-    pub fn flow(&mut self, number: u32) {
+    /// Opens a flow that sends a packet every `FLOW_PACKET_INTERVAL` until the simulation ends.
+    pub fn open_flow(&mut self, number: u32) {
         let [_, a, b, c] = number.to_be_bytes();
         let caller = SocketAddr::from((Ipv4Addr::new(192, a, b, c), 5_000));
         let flow = Flow {
@@ -441,20 +443,20 @@
             sent: 0,
             answered: 0,
             last_answer: self.now,
-            excused: false,
-            excused_until: Timestamp::ZERO,
-            homes: BTreeSet::new(),
+            is_break_allowed: false,
+            break_allowed_until: Timestamp::ZERO,
+            target_domains: BTreeSet::new(),
             broken: None,
-            given_up: false,
+            is_abandoned: false,
         };
         self.callers.flows.insert(caller, flow);
-        self.after(Duration::ZERO, Event::FlowPacket { caller });
+        self.schedule(Duration::ZERO, Event::FlowPacket { caller });
     }
 
-    // Time.
+    // Events and the network.
 
-    /// Runs until `time` from now.
-    pub fn run(&mut self, time: Duration) {
+    /// Advances the simulation by `time`, and handles all events that are due by then.
+    pub fn run_for(&mut self, time: Duration) {
         let end = self.now + time;
         while let Some(Reverse((at, number))) = self.queue.peek().copied() {
             if at > end {
@@ -463,69 +465,69 @@
             self.queue.pop();
             self.now = at;
             if let Some(event) = self.events.remove(&number) {
-                self.happen(event);
+                self.handle_event(event);
             }
         }
         self.now = end;
     }
 
-    fn after(&mut self, delay: Duration, event: Event) {
+    fn schedule(&mut self, delay: Duration, event: Event) {
         self.next_event += 1;
         self.queue.push(Reverse((self.now + delay, self.next_event)));
         self.events.insert(self.next_event, event);
     }
 
     fn delay(&mut self) -> Duration {
-        let (least, most) = self.network.delay_ms;
-        Duration::from_micros(self.rng.random_range(least * 1_000..=most * 1_000))
+        let (min_ms, max_ms) = self.network.delay_ms;
+        Duration::from_micros(self.rng.random_range(min_ms * 1_000..=max_ms * 1_000))
     }
 
-    /// Sends something over the network, which may lose or repeat it.
+    /// Schedules an event that crosses the network, which may delay, lose or duplicate it.
     fn transmit(&mut self, event: Event) {
         if self.rng.random_bool(self.network.drop) {
             return;
         }
         if self.rng.random_bool(self.network.duplicate) {
             let delay = self.delay();
-            self.after(delay, event.clone());
+            self.schedule(delay, event.clone());
         }
         let delay = self.delay();
-        self.after(delay, event);
+        self.schedule(delay, event);
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
-            Event::Tick { id, life } => {
-                if self.is_life(id, life) {
-                    self.feed(id, Input::Tick);
-                    self.after(TICK_PERIOD, Event::Tick { id, life });
+            Event::Tick { id, epoch } => {
+                if self.is_current(id, epoch) {
+                    self.handle_input(id, Input::Tick);
+                    self.schedule(TICK_PERIOD, Event::Tick { id, epoch });
                 }
             }
-            Event::Deliver { id, life, input } => {
-                if self.is_life(id, life) {
-                    self.feed(id, *input);
+            Event::Deliver { id, epoch, input } => {
+                if self.is_current(id, epoch) {
+                    self.handle_input(id, *input);
                 }
             }
-            Event::Message { address, from, envelope } => self.message(address, from, envelope),
-            Event::Forwarded { address, head } => self.forwarded(address, head),
-            Event::AtTarget { target, service, caller, from, local_port } => {
-                self.at_target(target, service, caller, from, local_port);
+            Event::Message { address, from, envelope } => self.deliver_message(address, from, envelope),
+            Event::ForwardedPacket { address, head } => self.deliver_forwarded_packet(address, head),
+            Event::PacketAtTarget { target, service, caller, from, local_port } => {
+                self.deliver_to_target(target, service, caller, from, local_port);
             }
-            Event::Pass { from, life, request, address, to, head } => {
-                self.pass(from, life, request, address, to, *head);
+            Event::ForwardedRequest { from, epoch, request, address, to, head } => {
+                self.deliver_forwarded_request(from, epoch, request, address, to, *head);
             }
-            Event::Execute { id, life, request, attempt, target } => self.execute(id, life, request, attempt, target),
-            Event::TargetDone { id, life, request, attempt, target } => {
-                self.target_done(id, life, request, attempt, target);
+            Event::Execute { id, epoch, request, attempt, target } => self.execute(id, epoch, request, attempt, target),
+            Event::ExecutionFinished { id, epoch, request, attempt, target } => {
+                self.finish_execution(id, epoch, request, attempt, target);
             }
             Event::TryOrder { order } => self.try_order(order),
-            Event::OrderSilent { order, tries } => self.order_silent(order, tries),
-            Event::FlowPacket { caller } => self.flow_packet(caller),
+            Event::OrderTimeout { order, tries } => self.handle_order_timeout(order, tries),
+            Event::FlowPacket { caller } => self.send_flow_packet(caller),
         }
     }
 
-    fn is_life(&self, id: InstanceId, life: u64) -> bool {
-        self.hosts.get(&id).is_some_and(|host| host.life == life)
+    fn is_current(&self, id: InstanceId, epoch: u64) -> bool {
+        self.hosts.get(&id).is_some_and(|host| host.epoch == epoch)
     }
 
     fn host_at(&self, address: SocketAddr) -> Option<InstanceId> {
@@ -536,19 +538,20 @@
         self.hosts.contains_key(&id).then_some(id)
     }
 
-    fn is_cut(&self, a: InstanceId, b: InstanceId) -> bool {
-        self.cuts.contains(&(a.min(b), a.max(b)))
+    fn is_disconnected(&self, a: InstanceId, b: InstanceId) -> bool {
+        self.disconnected_pairs.contains(&(a.min(b), a.max(b)))
     }
 
     // Instances.
 
-    /// Feeds an input to an instance; a paused one gets it when it wakes.
-    fn feed(&mut self, id: InstanceId, input: Input) {
+    /// Passes an input to an instance's node and handles the outputs. A paused instance receives the input when its
+    /// pause ends.
+    fn handle_input(&mut self, id: InstanceId, input: Input) {
         let now = self.now;
         let Some(host) = self.hosts.get_mut(&id) else { return };
         if host.paused_until > now {
-            let (life, wait) = (host.life, host.paused_until.saturating_sub(now));
-            self.after(wait, Event::Deliver { id, life, input: Box::new(input) });
+            let (epoch, wait) = (host.epoch, host.paused_until.saturating_sub(now));
+            self.schedule(wait, Event::Deliver { id, epoch, input: Box::new(input) });
             return;
         }
         let caller = match &input {
@@ -561,19 +564,21 @@
             _ => None,
         };
         let mut out = Vec::new();
-        let label =
-            self.trace.filter(|trace| caller.is_some_and(|(_, caller)| caller == *trace)).map(|_| format!("{input:?}"));
+        let label = self
+            .traced_flow
+            .filter(|traced| caller.is_some_and(|(_, caller)| caller == *traced))
+            .map(|_| format!("{input:?}"));
         host.node.handle(now, input, &mut out);
         if let Some(label) = label {
-            let view: Vec<InstanceId> = host.node.view().serving().iter().map(|seat| seat.id).collect();
+            let view: Vec<InstanceId> = host.node.view().serving().iter().map(|instance| instance.id).collect();
             println!("{now:?} {id} {view:?}: {label} -> {out:?}");
         }
         for output in out {
-            self.carry_out(id, output, caller, answered);
+            self.handle_output(id, output, caller, answered);
         }
     }
 
-    fn carry_out(
+    fn handle_output(
         &mut self,
         id: InstanceId,
         output: Output,
@@ -581,29 +586,29 @@
         answered: Option<SocketAddr>,
     ) {
         let Some(host) = self.hosts.get_mut(&id) else { return };
-        let life = host.life;
+        let epoch = host.epoch;
         match output {
-            Output::Packet(fate) => self.follow(id, fate, caller, answered),
+            Output::Packet(action) => self.handle_packet_action(id, action, caller, answered),
             Output::ToPeer { address, envelope } => self.transmit(Event::Message { address, from: id, envelope }),
             Output::ReadPlatform(read) => {
-                host.watches.push(read);
-                if read.wait.is_zero() || self.platform_down || self.platform_cut.contains(&id) {
-                    self.answer_watch(id, read, true);
+                host.pending_reads.push(read);
+                if read.wait.is_zero() || self.platform_down || self.disconnected_from_platform.contains(&id) {
+                    self.answer_read(id, read, true);
                 } else {
-                    self.answer_watch(id, read, false);
+                    self.answer_read(id, read, false);
                 }
             }
-            Output::Probe { target, address } => self.probe(id, target, address),
+            Output::Probe { target, address } => self.check_health(id, target, address),
             Output::ForwardRequest { request, to, address, head } => {
                 let delay = self.delay();
-                let pass = Event::Pass { from: id, life, request, address, to, head: Box::new(head) };
-                self.after(delay, pass);
+                let event = Event::ForwardedRequest { from: id, epoch, request, address, to, head: Box::new(head) };
+                self.schedule(delay, event);
             }
             Output::Execute { request, attempt, address, .. } => {
                 let delay = self.delay();
-                self.after(delay, Event::Execute { id, life, request, attempt, target: address });
+                self.schedule(delay, Event::Execute { id, epoch, request, attempt, target: address });
             }
-            Output::Reply { request, reply } => self.reply(id, request, &reply),
+            Output::Reply { request, reply } => self.handle_reply(id, request, &reply),
             Output::ReleaseAnswer { answer } => {
                 host.answers.remove(&answer);
             }
@@ -619,37 +624,37 @@
         }
     }
 
-    fn message(&mut self, address: SocketAddr, from: InstanceId, envelope: Box<Envelope>) {
+    fn deliver_message(&mut self, address: SocketAddr, from: InstanceId, envelope: Box<Envelope>) {
         let to = self.host_at(address);
         match to {
-            Some(to) if !self.is_cut(from, to) => self.feed(to, Input::PeerMessage(envelope)),
+            Some(to) if !self.is_disconnected(from, to) => self.handle_input(to, Input::PeerMessage(envelope)),
             Some(_) => {}
-            None => self.feed(from, Input::PeerUnreachable { to: envelope.to }),
+            None => self.handle_input(from, Input::PeerUnreachable { to: envelope.to }),
         }
     }
 
-    fn forwarded(&mut self, address: SocketAddr, head: ForwardedPacketHeader) {
-        if let Some(to) = self.host_at(address).filter(|to| !self.is_cut(head.from, *to)) {
-            self.feed(to, Input::ForwardedPacket(head));
+    fn deliver_forwarded_packet(&mut self, address: SocketAddr, head: ForwardedPacketHeader) {
+        if let Some(to) = self.host_at(address).filter(|to| !self.is_disconnected(head.from, *to)) {
+            self.handle_input(to, Input::ForwardedPacket(head));
         }
     }
 
-    fn follow(
+    fn handle_packet_action(
         &mut self,
         id: InstanceId,
-        fate: PacketAction,
+        action: PacketAction,
         caller: Option<(ServiceId, SocketAddr)>,
         answered: Option<SocketAddr>,
     ) {
-        match fate {
+        match action {
             PacketAction::ToTarget { local_port, target } => {
                 let Some((service, caller)) = caller else { return };
-                self.transmit(Event::AtTarget { target, service, caller, from: id, local_port });
+                self.transmit(Event::PacketAtTarget { target, service, caller, from: id, local_port });
             }
-            PacketAction::Forward { address, head } => self.transmit(Event::Forwarded { address, head }),
+            PacketAction::Forward { address, head } => self.transmit(Event::ForwardedPacket { address, head }),
             PacketAction::ToCaller { caller, .. } => {
                 if let Some(target) = answered {
-                    self.flow_answer(caller, target, id);
+                    self.handle_flow_answer(caller, target, id);
                 }
             }
             PacketAction::Drop(_) => {}
@@ -658,22 +663,22 @@
 
     // The platform.
 
-    fn wake_watches(&mut self) {
+    fn answer_pending_reads(&mut self) {
         let waiting: Vec<(InstanceId, PlatformRead)> =
-            self.hosts.iter().flat_map(|(id, host)| host.watches.iter().map(|read| (*id, *read))).collect();
+            self.hosts.iter().flat_map(|(id, host)| host.pending_reads.iter().map(|read| (*id, *read))).collect();
         for (id, read) in waiting {
-            self.answer_watch(id, read, false);
+            self.answer_read(id, read, false);
         }
     }
 
-    /// Answers a read if there is news, or in any case when `now_or_never`.
-    fn answer_watch(&mut self, id: InstanceId, read: PlatformRead, now_or_never: bool) {
-        let failed = self.platform_down || self.platform_cut.contains(&id);
+    /// Answers a read if the resource has changed or the platform is unreachable, or in any case if `immediate`.
+    fn answer_read(&mut self, id: InstanceId, read: PlatformRead, immediate: bool) {
+        let failed = self.platform_down || self.disconnected_from_platform.contains(&id);
         let version = match read.resource {
             Resource::Set => self.set.revision,
             Resource::Instances => self.list_version,
         };
-        if !failed && version == read.after && !now_or_never {
+        if !failed && version == read.after && !immediate {
             return;
         }
         let input = if failed {
@@ -690,10 +695,10 @@
             }
         };
         let Some(host) = self.hosts.get_mut(&id) else { return };
-        host.watches.retain(|waiting| *waiting != read);
-        let life = host.life;
+        host.pending_reads.retain(|waiting| *waiting != read);
+        let epoch = host.epoch;
         let delay = self.delay();
-        self.after(delay, Event::Deliver { id, life, input: Box::new(input) });
+        self.schedule(delay, Event::Deliver { id, epoch, input: Box::new(input) });
     }
 
     fn instance_list(&self) -> InstanceList {
@@ -709,25 +714,29 @@
 
     // Targets.
 
-    fn probe(&mut self, id: InstanceId, target: TargetId, address: SocketAddr) {
+    fn check_health(&mut self, id: InstanceId, target: TargetId, address: SocketAddr) {
         let Some(host) = self.hosts.get(&id) else { return };
         let state = self.targets.get(&address).map(|state| state.cold);
         let report = state.map(|cold| if cold { HealthReport::Cold } else { HealthReport::Warm });
-        let life = host.life;
+        let epoch = host.epoch;
         let delay = self.delay() * 2;
-        self.after(delay, Event::Deliver { id, life, input: Box::new(Input::Probed { target, report, load: None }) });
+        self.schedule(
+            delay,
+            Event::Deliver { id, epoch, input: Box::new(Input::Probed { target, report, load: None }) },
+        );
     }
 
-    fn note_arrival(&mut self, address: SocketAddr) {
+    fn record_arrival(&mut self, address: SocketAddr) {
         let out_since = self.targets.get(&address).and_then(|state| state.out_since);
-        let reachable = !self.platform_down && self.cuts.is_empty();
-        let late = out_since.is_some_and(|since| self.now > since.max(self.news_since) + OUT_GRACE);
+        let reachable = !self.platform_down && self.disconnected_pairs.is_empty();
+        let late =
+            out_since.is_some_and(|since| self.now > since.max(self.platform_reachable_since) + OUT_DOMAIN_GRACE);
         if late && reachable {
-            self.never.late_after_out += 1;
+            self.violations.sent_to_out_domain += 1;
         }
     }
 
-    fn at_target(
+    fn deliver_to_target(
         &mut self,
         target: SocketAddr,
         service: ServiceId,
@@ -735,39 +744,40 @@
         from: InstanceId,
         local_port: LocalPort,
     ) {
-        self.note_arrival(target);
+        self.record_arrival(target);
         let group = self.set.target_groups.iter().find(|group| group.targets.iter().any(|t| t.address == target));
-        let own = self.set.services.iter().find(|object| object.id() == service);
+        let expected_service = self.set.services.iter().find(|object| object.id() == service);
         let member = group.and_then(|group| group.targets.iter().find(|member| member.address == target));
         let domain = member.map(|member| member.failure_domain.clone());
-        if group.map(|group| &group.name) != own.map(|service| &service.target_group) {
-            self.never.wrong_service += 1;
+        if group.map(|group| &group.name) != expected_service.map(|service| &service.target_group) {
+            self.violations.wrong_service += 1;
         }
         if let Some(flow) = self.callers.flows.get_mut(&caller) {
             flow.holder = Some(from);
             if let Some(domain) = domain {
-                flow.homes.insert(domain);
+                flow.target_domains.insert(domain);
             }
         }
         let Some(host) = self.hosts.get(&from) else { return };
-        let life = host.life;
+        let epoch = host.epoch;
         let input = Box::new(Input::TargetPacket { target, local_port });
-        self.transmit(Event::Deliver { id: from, life, input });
+        self.transmit(Event::Deliver { id: from, epoch, input });
     }
 
-    fn execute(&mut self, id: InstanceId, life: u64, request: RequestId, attempt: AttemptNumber, target: SocketAddr) {
-        self.note_arrival(target);
+    fn execute(&mut self, id: InstanceId, epoch: u64, request: RequestId, attempt: AttemptNumber, target: SocketAddr) {
+        self.record_arrival(target);
         let Some((_, order)) = self.hosts.get(&id).and_then(|host| host.origins.get(&request)).copied() else {
             return;
         };
         let Some(state) = self.targets.get_mut(&target) else { return };
         let limit = if state.cold { 1 } else { 2 };
         if state.running >= limit {
-            let count = if state.cold { &mut self.never.cold_overloads } else { &mut self.never.slot_overruns };
+            let count =
+                if state.cold { &mut self.violations.cold_overloads } else { &mut self.violations.slot_overruns };
             *count += 1;
             let refusal = Refusal { verdict: Verdict::NotRun, reason: Reason::RefusedByTarget };
             let input = Box::new(Input::TargetFailed { request, attempt, refusal });
-            return self.after(Duration::from_millis(1), Event::Deliver { id, life, input });
+            return self.schedule(Duration::from_millis(1), Event::Deliver { id, epoch, input });
         }
         state.running += 1;
         let work = if state.cold { (20, 60) } else { (5, 15) };
@@ -775,13 +785,13 @@
         if let Some(order) = self.callers.orders.get_mut(&order) {
             order.runs += 1;
         }
-        self.after(work, Event::TargetDone { id, life, request, attempt, target });
+        self.schedule(work, Event::ExecutionFinished { id, epoch, request, attempt, target });
     }
 
-    fn target_done(
+    fn finish_execution(
         &mut self,
         id: InstanceId,
-        life: u64,
+        epoch: u64,
         request: RequestId,
         attempt: AttemptNumber,
         target: SocketAddr,
@@ -791,21 +801,21 @@
             state.answered += 1;
             state.cold &= state.answered < ANSWERS_TO_WARM;
         }
-        let input = match self.answer_of(id, request) {
+        let input = match self.create_answer(id, request) {
             Some(answer) => Input::TargetAnswered { request, attempt, answer },
             None => return,
         };
         let delay = self.delay();
-        self.after(delay, Event::Deliver { id, life, input: Box::new(input) });
+        self.schedule(delay, Event::Deliver { id, epoch, input: Box::new(input) });
     }
 
-    /// Makes the answer to the order that an instance's request carries.
-    fn answer_of(&mut self, id: InstanceId, request: RequestId) -> Option<StoredAnswer> {
+    /// Returns a new stored answer to the order of an instance's request, or `None` if the request is unknown.
+    fn create_answer(&mut self, id: InstanceId, request: RequestId) -> Option<StoredAnswer> {
         let order = self.hosts.get(&id)?.origins.get(&request)?.1;
-        self.keep_answer(id, order)
+        self.store_answer(id, order)
     }
 
-    fn keep_answer(&mut self, id: InstanceId, order: OrderId) -> Option<StoredAnswer> {
+    fn store_answer(&mut self, id: InstanceId, order: OrderId) -> Option<StoredAnswer> {
         self.next_event += 1;
         let answer = self.next_event;
         self.hosts.get_mut(&id)?.answers.insert(answer, order);
@@ -814,10 +824,10 @@
 
     // Requests.
 
-    fn pass(
+    fn deliver_forwarded_request(
         &mut self,
         from: InstanceId,
-        life: u64,
+        epoch: u64,
         request: RequestId,
         address: SocketAddr,
         to: InstanceId,
@@ -828,27 +838,37 @@
             return;
         };
         match self.host_at(address) {
-            Some(reached) if self.is_cut(from, reached) => {}
+            Some(reached) if self.is_disconnected(from, reached) => {}
             Some(reached) if reached == to => {
-                let origin = Origin::Peer { from, life, request };
-                self.admit(reached, origin, order, |request| Input::ForwardedRequestArrived { request, from, head });
+                let origin = Origin::Peer { from, epoch, request };
+                self.submit_request(reached, origin, order, |request| Input::ForwardedRequestArrived {
+                    request,
+                    from,
+                    head,
+                });
             }
             _ => {
                 let input = Box::new(Input::ForwardedRequestFailed { request, verdict: Verdict::NotRun });
-                self.after(Duration::from_millis(1), Event::Deliver { id: from, life, input });
+                self.schedule(Duration::from_millis(1), Event::Deliver { id: from, epoch, input });
             }
         }
     }
 
-    fn admit(&mut self, id: InstanceId, origin: Origin, order: OrderId, input: impl FnOnce(RequestId) -> Input) {
+    fn submit_request(
+        &mut self,
+        id: InstanceId,
+        origin: Origin,
+        order: OrderId,
+        input: impl FnOnce(RequestId) -> Input,
+    ) {
         let Some(host) = self.hosts.get_mut(&id) else { return };
         host.next_request += 1;
         let request = host.next_request;
         host.origins.insert(request, (origin, order));
-        self.feed(id, input(request));
+        self.handle_input(id, input(request));
     }
 
-    fn reply(&mut self, id: InstanceId, request: RequestId, reply: &Reply) {
+    fn handle_reply(&mut self, id: InstanceId, request: RequestId, reply: &Reply) {
         let Some(host) = self.hosts.get_mut(&id) else { return };
         let Some((origin, order)) = host.origins.remove(&request) else { return };
         let answered = match reply {
@@ -856,58 +876,59 @@
             Reply::Refuse { .. } => None,
         };
         match origin {
-            Origin::Caller { order, tries } => self.order_reply(order, tries, reply, answered),
-            Origin::Peer { from, life, request } => {
-                if self.is_cut(id, from) || !self.is_life(from, life) {
+            Origin::Caller { order, tries } => self.handle_order_reply(order, tries, reply, answered),
+            Origin::Peer { from, epoch, request } => {
+                if self.is_disconnected(id, from) || !self.is_current(from, epoch) {
                     return;
                 }
                 let (result, free) = match reply {
                     Reply::Answer { free, .. } => {
-                        let Some(answer) = self.keep_answer(from, answered.unwrap_or(order)) else { return };
+                        let Some(answer) = self.store_answer(from, answered.unwrap_or(order)) else { return };
                         (Ok(answer), *free)
                     }
                     Reply::Refuse { refusal, free, .. } => (Err(*refusal), *free),
                 };
                 let input = Box::new(Input::ForwardedRequestEnded { request, result, free });
                 let delay = self.delay();
-                self.after(delay, Event::Deliver { id: from, life, input });
+                self.schedule(delay, Event::Deliver { id: from, epoch, input });
             }
         }
     }
 
-    /// Picks an instance as the fabric does: any but those that have been stopping for a while.
-    fn random_entry(&mut self) -> Option<InstanceId> {
-        let stopping = |host: &&Host| host.stopping.is_some_and(|since| self.now > since + FABRIC_LAG);
+    /// Picks a random instance, like the fabric: any but those that have been stopping for longer than
+    /// `FABRIC_DETECTION_DELAY`.
+    fn pick_entry_instance(&mut self) -> Option<InstanceId> {
+        let stopping = |host: &&Host| host.stopping.is_some_and(|since| self.now > since + FABRIC_DETECTION_DELAY);
         let known = self.hosts.iter().filter(|(_, host)| !stopping(host)).map(|(id, _)| *id);
         known.choose(&mut self.rng)
     }
 
     fn try_order(&mut self, order: OrderId) {
-        let Some(entry) = self.random_entry() else { return };
+        let Some(entry) = self.pick_entry_instance() else { return };
         let Some(state) = self.callers.orders.get_mut(&order) else { return };
         state.tries += 1;
         let (tries, ticket) = (state.tries, state.ticket.clone());
         let service = self.set.services[0].id();
         let origin = Origin::Caller { order, tries };
-        self.admit(entry, origin, order, |request| Input::RequestArrived {
+        self.submit_request(entry, origin, order, |request| Input::RequestArrived {
             request,
             service,
             idempotent: false,
             ticket,
             timeout: None,
         });
-        self.after(CALLER_PATIENCE, Event::OrderSilent { order, tries });
+        self.schedule(CALLER_TIMEOUT, Event::OrderTimeout { order, tries });
     }
 
-    fn order_reply(&mut self, id: OrderId, tries: u32, reply: &Reply, answered: Option<OrderId>) {
+    fn handle_order_reply(&mut self, id: OrderId, tries: u32, reply: &Reply, answered: Option<OrderId>) {
         let Some(order) = self.callers.orders.get_mut(&id) else { return };
-        if order.tries != tries || order.end.is_some() {
+        if order.tries != tries || order.outcome.is_some() {
             return;
         }
         match reply {
             Reply::Answer { .. } => {
-                assert_eq!(answered, Some(id), "order {id} got the answer to another");
-                order.end = Some(OrderEnd::Answered);
+                assert_eq!(answered, Some(id), "order {id} received the answer to another order");
+                order.outcome = Some(OrderOutcome::Answered);
                 return;
             }
             Reply::Refuse { refusal, ticket, .. } => {
@@ -915,18 +936,18 @@
                     assert_eq!(order.runs, 0, "order {id} was refused as not run ({}) but ran", refusal.reason);
                     order.ticket = ticket.clone().or(order.ticket.take());
                 } else {
-                    order.doubtful = true;
-                    order.doubts.push(refusal.reason);
+                    order.is_outcome_unknown = true;
+                    order.unknown_reasons.push(refusal.reason);
                 }
             }
         }
         self.retry(id);
     }
 
-    fn order_silent(&mut self, id: OrderId, tries: u32) {
+    fn handle_order_timeout(&mut self, id: OrderId, tries: u32) {
         let Some(order) = self.callers.orders.get_mut(&id) else { return };
-        if order.tries == tries && order.end.is_none() {
-            order.doubtful = true;
+        if order.tries == tries && order.outcome.is_none() {
+            order.is_outcome_unknown = true;
             self.retry(id);
         }
     }
@@ -934,15 +955,15 @@
     fn retry(&mut self, id: OrderId) {
         let Some(order) = self.callers.orders.get_mut(&id) else { return };
         if order.tries >= MAX_TRIES {
-            order.end = Some(if order.doubtful { OrderEnd::Unknown } else { OrderEnd::NotRun });
+            order.outcome = Some(if order.is_outcome_unknown { OrderOutcome::Unknown } else { OrderOutcome::NotRun });
             return;
         }
-        self.after(Duration::from_millis(200), Event::TryOrder { order: id });
+        self.schedule(Duration::from_millis(200), Event::TryOrder { order: id });
     }
 
     // Flows.
 
-    fn flow_packet(&mut self, caller: SocketAddr) {
+    fn send_flow_packet(&mut self, caller: SocketAddr) {
         let service = self.set.services[1].id();
         let now = self.now;
         let awake: Vec<InstanceId> =
@@ -951,12 +972,12 @@
             if let Some(flow) = self.callers.flows.get_mut(&caller) {
                 flow.sent += 1;
             }
-            self.feed(entry, Input::CallerPacket { service, caller });
+            self.handle_input(entry, Input::CallerPacket { service, caller });
         }
-        self.after(FLOW_PACE, Event::FlowPacket { caller });
+        self.schedule(FLOW_PACKET_INTERVAL, Event::FlowPacket { caller });
     }
 
-    fn flow_answer(&mut self, caller: SocketAddr, target: SocketAddr, by: InstanceId) {
+    fn handle_flow_answer(&mut self, caller: SocketAddr, target: SocketAddr, by: InstanceId) {
         let now = self.now;
         let Some(flow) = self.callers.flows.get_mut(&caller) else { return };
         flow.answered += 1;
@@ -965,41 +986,49 @@
         match flow.target {
             None => {
                 flow.target = Some(target);
-                flow.given_up = out;
+                flow.is_abandoned = out;
             }
             Some(first) if first != target => {
-                let split = !self.cuts.is_empty();
-                let excused = flow.excused || split || now < flow.excused_until;
-                if !flow.given_up && !excused && flow.broken.is_none() {
+                let split = !self.disconnected_pairs.is_empty();
+                let break_allowed = flow.is_break_allowed || split || now < flow.break_allowed_until;
+                if !flow.is_abandoned && !break_allowed && flow.broken.is_none() {
                     flow.broken = Some(format!("{now:?}: answered by {target} instead of {first}, through {by}"));
                 }
-                // From here on it is another flow, with the same promises.
+                // The flow counts as a new one from here on, with the same guarantees.
                 flow.target = Some(target);
-                flow.given_up = out;
-                flow.excused = false;
+                flow.is_abandoned = out;
+                flow.is_break_allowed = false;
             }
             Some(_) => {}
         }
     }
 
-    // What tests ask.
+    // Accessors and checks for tests.
 
-    /// Returns the instances that run.
+    /// Returns the ids of the running instances.
     pub fn ids(&self) -> Vec<InstanceId> {
         self.hosts.keys().copied().collect()
     }
 
-    /// Gives an instance's core.
+    /// Returns an instance's node.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the instance does not run.
     pub fn node(&self, id: InstanceId) -> &Node {
         &self.hosts[&id].node
     }
 
-    /// Gives an instance's state.
+    /// Returns a dump of an instance's state.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the instance does not run.
     pub fn dump(&self, id: InstanceId) -> hawthornshift_core::dump::Dump {
         self.hosts[&id].node.dump(self.now)
     }
 
-    /// Tells whether all instances hold the published set and the same view.
+    /// Returns whether all instances have adopted the published set and have the same view.
     pub fn has_converged(&self) -> bool {
         let mut views = self.hosts.values().map(|host| host.node.view().digest());
         let first = views.next();
@@ -1007,20 +1036,24 @@
         same && self.hosts.values().all(|host| host.node.catalog().revision() == self.set.revision)
     }
 
-    /// Returns the flows that broke although nothing but planned changes touched them.
+    /// Returns a description of each flow that changed its target when it was not allowed to.
     pub fn broken_flows(&self) -> Vec<String> {
         let broken = self.callers.flows.values().filter_map(|flow| Some((flow.caller, flow.broken.as_ref()?)));
         broken.map(|(caller, how)| format!("{caller}: {how}")).collect()
     }
 
-    /// Checks every order's two ledgers against each other.
+    /// Compares the outcome that each order's caller received with the number of times that targets ran the order.
+    ///
+    /// # Panics
+    ///
+    /// Panics if an order ran twice, was answered but never ran, or ran although it was refused as not run.
     pub fn check_orders(&self) {
         for (id, order) in &self.callers.orders {
             assert!(order.runs <= 1, "order {id} ran {} times: {order:?}", order.runs);
-            match order.end {
-                Some(OrderEnd::Answered) => assert_eq!(order.runs, 1, "order {id} was answered but never ran"),
-                Some(OrderEnd::NotRun) => assert_eq!(order.runs, 0, "order {id} was refused as not run but ran"),
-                Some(OrderEnd::Unknown) | None => {}
+            match order.outcome {
+                Some(OrderOutcome::Answered) => assert_eq!(order.runs, 1, "order {id} was answered but never ran"),
+                Some(OrderOutcome::NotRun) => assert_eq!(order.runs, 0, "order {id} was refused as not run but ran"),
+                Some(OrderOutcome::Unknown) | None => {}
             }
         }
     }
--- a/crates/core/tests/targets.rs
+++ b/crates/core/tests/targets.rs
@@ -1,4 +1,5 @@
-//! What targets are given: ramps, holds of new keepers, channels of flows.
+//! Protection of targets: slow start, the wait of a new coordinator, reuse of local ports, closed flow records, and
+//! priorities in the pending queue.
 
 mod support;
 
@@ -25,53 +26,54 @@
 use hawthornshift_model::DomainState;
 use hawthornshift_model::FlowKey;
 
-/// A target that has just started is given its full load at once and falls over. Its limit has to start low, rise only
-/// by good answers, and rise more slowly after each fall.
+/// A target that has just started and receives its full load at once is overloaded. Its limit must start low, rise only
+/// with successful answers, and rise more slowly after each restart of the slow start.
 #[test]
-fn a_cold_target_is_raised_by_answers_and_more_slowly_after_a_fall() {
-    let answers_to_warm = |ramp: &mut SlowStartLimit, caution: u32| {
+fn a_cold_limit_rises_with_answers_and_more_slowly_after_a_restart() {
+    let answers_to_warm = |limit: &mut SlowStartLimit, multiplier: u32| {
         let mut answers = 0;
-        while !ramp.is_warm() {
-            ramp.record_success(caution);
+        while !limit.is_warm() {
+            limit.record_success(multiplier);
             answers += 1;
         }
         answers
     };
-    let mut ramp = SlowStartLimit::cold(2);
-    assert_eq!(ramp.limit(), 1);
-    assert_eq!(answers_to_warm(&mut ramp.clone(), 10), 60);
-    assert_eq!(answers_to_warm(&mut ramp, 1), 6);
-    ramp.restart();
-    assert_eq!(ramp.limit(), 1);
-    assert_eq!(answers_to_warm(&mut ramp, 1), 12);
+    let mut limit = SlowStartLimit::cold(2);
+    assert_eq!(limit.limit(), 1);
+    assert_eq!(answers_to_warm(&mut limit.clone(), 10), 60);
+    assert_eq!(answers_to_warm(&mut limit, 1), 6);
+    limit.restart();
+    assert_eq!(limit.limit(), 1);
+    assert_eq!(answers_to_warm(&mut limit, 1), 12);
     assert_eq!(SlowStartLimit::cold(2_000).limit(), 31);
 }
 
-/// A keeper dies or is paused with requests running at its target, and another takes its place. Were it to start at
-/// once, the target would get the load of both. It waits until the former must have stopped, or has said what it runs.
+/// A coordinator crashes or is paused while requests run at its target, and another instance takes over. If that one
+/// started requests at once, the target would receive the load of both. It must wait until the lease of the previous
+/// coordinator has expired, or until that one has reported how many requests it still runs.
 #[test]
-fn a_new_keeper_gives_nothing_before_the_former_has_stopped() {
+fn a_new_coordinator_starts_nothing_before_the_previous_one_has_stopped() {
     let catalog = Arc::new(Catalog::new(Arc::new(CheckedSet::new(support::set()).unwrap())));
     let group = catalog.services().find(|service| service.name == "suscripciones").unwrap().group_id;
-    let alone = View::new(Arc::clone(&catalog), [(ServingInstance { id: 0, incarnation: 1 }, "norte")]);
+    let view = View::new(Arc::clone(&catalog), [(ServingInstance { id: 0, incarnation: 1 }, "norte")]);
     let mut rng = SmallRng::seed_from_u64(1);
     let mut invariant_counters = InvariantCounters::default();
     let start = Duration::from_secs(10);
     let mut coordinator = TargetCoordinator::new(0, Tuning::default());
-    coordinator.view_changed(start, &alone, &mut rng);
+    coordinator.view_changed(start, &view, &mut rng);
     let mut admit = |coordinator: &mut TargetCoordinator, now, request| {
         coordinator.admit(now, request, group, Class::Critical, LeaseState::Valid, &mut invariant_counters)
     };
     assert_eq!(admit(&mut coordinator, start, 1), Admission::Queued);
-    let released = coordinator.targets(|id| id.to_string()).iter().find_map(|kept| {
-        let id = kept.name.parse().ok()?;
+    let released = coordinator.targets(|id| id.to_string()).iter().find_map(|target| {
+        let id = target.name.parse().ok()?;
         (catalog.target(id)?.group_id == group).then_some(id)
     });
     coordinator.released_by(start, 4, released.unwrap(), 1);
     let now = start + Duration::from_millis(10);
     assert!(
         coordinator.start_queued(now, LeaseState::Valid, &mut InvariantCounters::default()).is_empty(),
-        "the former still runs one"
+        "the previous coordinator still runs one request"
     );
     coordinator.released_by(now, 4, released.unwrap(), 0);
     assert_eq!(
@@ -83,26 +85,26 @@
     assert_eq!(coordinator.start_queued(later, LeaseState::Valid, &mut InvariantCounters::default()).len(), 1);
 }
 
-/// A flow ends and another starts at the same target at once. A late packet of the target for the first would reach
-/// the caller of the second if both had the same local port.
+/// A flow ends and another one starts at the same target. If both had the same local port, a late packet from the
+/// target for the first would reach the caller of the second, so a port is reused only after a minute.
 #[test]
-fn a_channel_rests_before_it_is_used_again() {
-    let note =
+fn a_local_port_is_not_reused_immediately() {
+    let descriptor =
         TargetDescriptor { id: 1, address: "10.0.0.9:8080".parse().unwrap(), failure_domain: "norte".to_owned() };
     let key = |last: u8| FlowKey { service: 5, caller: ([10, 0, 0, last], 4_000).into() };
     let mut table = FlowTable::new(100);
     let now = Duration::from_secs(1);
-    let first = table.insert_here(now, key(1), &note, 0).unwrap();
+    let first = table.insert_here(now, key(1), &descriptor, 0).unwrap();
     table.remove(now, &key(1));
-    let second = table.insert_here(now + Duration::from_secs(30), key(2), &note, 0).unwrap();
+    let second = table.insert_here(now + Duration::from_secs(30), key(2), &descriptor, 0).unwrap();
     assert_ne!(first, second);
-    assert!(table.find_by_channel(now, note.address, first, None).is_none());
-    let third = table.insert_here(now + Duration::from_secs(61), key(3), &note, 0).unwrap();
+    assert!(table.find_by_channel(now, descriptor.address, first, None).is_none());
+    let third = table.insert_here(now + Duration::from_secs(61), key(3), &descriptor, 0).unwrap();
     assert_eq!(first, third);
 }
 
-/// A failure domain is out for a moment and comes back before any packet has met the old records. They must stay closed,
-/// for their callers may have moved on; new flows to the same target are open.
+/// A failure domain is out of service briefly and returns before any packet has matched the old flow records. These
+/// must stay closed, because their flows may have moved to other targets; new flows to the same target are open.
 #[test]
 fn records_closed_by_an_outage_stay_closed_when_the_domain_returns() {
     let catalog = |state| {
@@ -112,7 +114,8 @@
     };
     let set = support::set();
     let target = &set.target_groups[1].targets[1];
-    let note = TargetDescriptor { id: target.id("avisos"), address: target.address, failure_domain: "sur".to_owned() };
+    let descriptor =
+        TargetDescriptor { id: target.id("avisos"), address: target.address, failure_domain: "sur".to_owned() };
     let key = |last: u8| FlowKey { service: set.services[1].id(), caller: ([10, 0, 0, last], 4_000).into() };
     let mut table = FlowTable::new(100);
     let now = Duration::from_secs(1);
@@ -120,35 +123,35 @@
         Holder::Here { seat, .. } => table.seat(seat).block().is_some(),
         Holder::Instance(_) => panic!("the flow is held here"),
     };
-    table.insert_here(now, key(1), &note, 0).unwrap();
+    table.insert_here(now, key(1), &descriptor, 0).unwrap();
     table.revalidate(&catalog(DomainState::Out));
     assert!(is_closed(&mut table, 1));
     table.revalidate(&catalog(DomainState::InService));
-    table.insert_here(now, key(2), &note, 0).unwrap();
+    table.insert_here(now, key(2), &descriptor, 0).unwrap();
     assert!(is_closed(&mut table, 1));
     assert!(!is_closed(&mut table, 2));
 }
 
-/// Reports wait for the counters. When both want the last slots of one group, the counters go first, and a report that
-/// waits makes room for them.
+/// Guards against bulk requests that delay critical ones at a target group without free slots: a critical request is
+/// started first, and displaces a bulk request when the pending queue is full.
 #[test]
-fn critical_requests_go_before_bulk_ones() {
+fn critical_requests_start_before_bulk_ones() {
     let catalog = Arc::new(Catalog::new(Arc::new(CheckedSet::new(support::set()).unwrap())));
     let group = catalog.services().find(|service| service.name == "suscripciones").unwrap().group_id;
-    let alone = View::new(Arc::clone(&catalog), [(ServingInstance { id: 0, incarnation: 1 }, "norte")]);
+    let view = View::new(Arc::clone(&catalog), [(ServingInstance { id: 0, incarnation: 1 }, "norte")]);
     let mut coordinator = TargetCoordinator::new(0, Tuning::default());
     let now = Duration::from_secs(10);
-    coordinator.view_changed(now, &alone, &mut SmallRng::seed_from_u64(1));
+    coordinator.view_changed(now, &view, &mut SmallRng::seed_from_u64(1));
     let mut invariant_counters = InvariantCounters::default();
     let mut admit =
         |request, class| coordinator.admit(now, request, group, class, LeaseState::Valid, &mut invariant_counters);
-    let room = 14 * 2 * 4;
-    for request in 0..room {
+    let capacity = 14 * 2 * 4;
+    for request in 0..capacity {
         assert_eq!(admit(request, Class::Bulk), Admission::Queued);
     }
-    assert_eq!(admit(room, Class::Bulk), Admission::Full);
-    assert_eq!(admit(room + 1, Class::Critical), Admission::QueuedInsteadOf(room - 1));
+    assert_eq!(admit(capacity, Class::Bulk), Admission::Full);
+    assert_eq!(admit(capacity + 1, Class::Critical), Admission::QueuedInsteadOf(capacity - 1));
     let later = now + Duration::from_secs(2);
     let started = coordinator.start_queued(later, LeaseState::Valid, &mut InvariantCounters::default());
-    assert_eq!(started.first().map(|(request, _)| *request), Some(room + 1));
+    assert_eq!(started.first().map(|(request, _)| *request), Some(capacity + 1));
 }
