--- a/crates/core/tests/support/callers.rs
+++ b/crates/core/tests/support/callers.rs
@@ -29,7 +29,7 @@
     /// The ticket that the next attempt presents; `None` until a refusal has issued one.
     pub ticket: Option<String>,
     /// Number of attempts that the caller has sent so far.
-    pub tries: u32,
+    pub attempts: u32,
     /// The outcome; `None` while attempts continue.
     pub outcome: Option<OrderOutcome>,
     /// Number of times that targets ran it.
--- a/crates/core/tests/support/world.rs
+++ b/crates/core/tests/support/world.rs
@@ -56,7 +56,7 @@
 /// Time between two packets of a flow.
 const FLOW_PACKET_INTERVAL: Duration = Duration::from_millis(100);
 /// Maximum number of attempts for one order.
-const MAX_TRIES: u32 = 8;
+const MAX_ATTEMPTS: u32 = 8;
 /// Time after which a caller that has received no reply retries.
 const CALLER_TIMEOUT: Duration = Duration::from_secs(5);
 /// Time after which the fabric stops sending requests to an instance that is stopping.
@@ -132,12 +132,12 @@
         attempt: AttemptNumber,
         target: SocketAddr,
     },
-    TryOrder {
+    AttemptOrder {
         order: OrderId,
     },
     OrderTimeout {
         order: OrderId,
-        tries: u32,
+        attempts: u32,
     },
     FlowPacket {
         caller: SocketAddr,
@@ -147,7 +147,7 @@
 /// Sender of a request that an instance handles.
 #[derive(Clone, Copy, Debug)]
 enum Origin {
-    Caller { order: OrderId, tries: u32 },
+    Caller { order: OrderId, attempts: u32 },
     Peer { from: InstanceId, epoch: u64, request: RequestId },
 }
 
@@ -426,10 +426,10 @@
 
     // Callers.
 
-    /// Sends a non-idempotent request, and retries it until it is answered or `MAX_TRIES` is reached.
+    /// Sends a non-idempotent request, and retries it until it is answered or `MAX_ATTEMPTS` is reached.
     pub fn send_order(&mut self, order: OrderId) {
         self.callers.orders.insert(order, Order::default());
-        self.schedule(Duration::ZERO, Event::TryOrder { order });
+        self.schedule(Duration::ZERO, Event::AttemptOrder { order });
     }
 
     /// Opens a flow that sends a packet every `FLOW_PACKET_INTERVAL` until the simulation ends.
@@ -520,8 +520,8 @@
             Event::ExecutionFinished { id, epoch, request, attempt, target } => {
                 self.finish_execution(id, epoch, request, attempt, target);
             }
-            Event::TryOrder { order } => self.try_order(order),
-            Event::OrderTimeout { order, tries } => self.handle_order_timeout(order, tries),
+            Event::AttemptOrder { order } => self.attempt_order(order),
+            Event::OrderTimeout { order, attempts } => self.handle_order_timeout(order, attempts),
             Event::FlowPacket { caller } => self.send_flow_packet(caller),
         }
     }
@@ -746,10 +746,10 @@
     ) {
         self.record_arrival(target);
         let group = self.set.target_groups.iter().find(|group| group.targets.iter().any(|t| t.address == target));
-        let expected_service = self.set.services.iter().find(|object| object.id() == service);
-        let member = group.and_then(|group| group.targets.iter().find(|member| member.address == target));
-        let domain = member.map(|member| member.failure_domain.clone());
-        if group.map(|group| &group.name) != expected_service.map(|service| &service.target_group) {
+        let packet_service = self.set.services.iter().find(|object| object.id() == service);
+        let entry = group.and_then(|group| group.targets.iter().find(|entry| entry.address == target));
+        let domain = entry.map(|entry| entry.failure_domain.clone());
+        if group.map(|group| &group.name) != packet_service.map(|service| &service.target_group) {
             self.violations.wrong_service += 1;
         }
         if let Some(flow) = self.callers.flows.get_mut(&caller) {
@@ -876,7 +876,7 @@
             Reply::Refuse { .. } => None,
         };
         match origin {
-            Origin::Caller { order, tries } => self.handle_order_reply(order, tries, reply, answered),
+            Origin::Caller { order, attempts } => self.handle_order_reply(order, attempts, reply, answered),
             Origin::Peer { from, epoch, request } => {
                 if self.is_disconnected(id, from) || !self.is_current(from, epoch) {
                     return;
@@ -898,18 +898,18 @@
     /// Picks a random instance, like the fabric: any but those that have been stopping for longer than
     /// `FABRIC_DETECTION_DELAY`.
     fn pick_entry_instance(&mut self) -> Option<InstanceId> {
-        let stopping = |host: &&Host| host.stopping.is_some_and(|since| self.now > since + FABRIC_DETECTION_DELAY);
-        let known = self.hosts.iter().filter(|(_, host)| !stopping(host)).map(|(id, _)| *id);
-        known.choose(&mut self.rng)
+        let is_stopping = |host: &&Host| host.stopping.is_some_and(|since| self.now > since + FABRIC_DETECTION_DELAY);
+        let candidates = self.hosts.iter().filter(|(_, host)| !is_stopping(host)).map(|(id, _)| *id);
+        candidates.choose(&mut self.rng)
     }
 
-    fn try_order(&mut self, order: OrderId) {
+    fn attempt_order(&mut self, order: OrderId) {
         let Some(entry) = self.pick_entry_instance() else { return };
         let Some(state) = self.callers.orders.get_mut(&order) else { return };
-        state.tries += 1;
-        let (tries, ticket) = (state.tries, state.ticket.clone());
+        state.attempts += 1;
+        let (attempts, ticket) = (state.attempts, state.ticket.clone());
         let service = self.set.services[0].id();
-        let origin = Origin::Caller { order, tries };
+        let origin = Origin::Caller { order, attempts };
         self.submit_request(entry, origin, order, |request| Input::RequestArrived {
             request,
             service,
@@ -917,12 +917,12 @@
             ticket,
             timeout: None,
         });
-        self.schedule(CALLER_TIMEOUT, Event::OrderTimeout { order, tries });
+        self.schedule(CALLER_TIMEOUT, Event::OrderTimeout { order, attempts });
     }
 
-    fn handle_order_reply(&mut self, id: OrderId, tries: u32, reply: &Reply, answered: Option<OrderId>) {
+    fn handle_order_reply(&mut self, id: OrderId, attempts: u32, reply: &Reply, answered: Option<OrderId>) {
         let Some(order) = self.callers.orders.get_mut(&id) else { return };
-        if order.tries != tries || order.outcome.is_some() {
+        if order.attempts != attempts || order.outcome.is_some() {
             return;
         }
         match reply {
@@ -944,9 +944,9 @@
         self.retry(id);
     }
 
-    fn handle_order_timeout(&mut self, id: OrderId, tries: u32) {
+    fn handle_order_timeout(&mut self, id: OrderId, attempts: u32) {
         let Some(order) = self.callers.orders.get_mut(&id) else { return };
-        if order.tries == tries && order.outcome.is_none() {
+        if order.attempts == attempts && order.outcome.is_none() {
             order.is_outcome_unknown = true;
             self.retry(id);
         }
@@ -954,11 +954,11 @@
 
     fn retry(&mut self, id: OrderId) {
         let Some(order) = self.callers.orders.get_mut(&id) else { return };
-        if order.tries >= MAX_TRIES {
+        if order.attempts >= MAX_ATTEMPTS {
             order.outcome = Some(if order.is_outcome_unknown { OrderOutcome::Unknown } else { OrderOutcome::NotRun });
             return;
         }
-        self.schedule(Duration::from_millis(200), Event::TryOrder { order: id });
+        self.schedule(Duration::from_millis(200), Event::AttemptOrder { order: id });
     }
 
     // Flows.
@@ -966,9 +966,9 @@
     fn send_flow_packet(&mut self, caller: SocketAddr) {
         let service = self.set.services[1].id();
         let now = self.now;
-        let awake: Vec<InstanceId> =
+        let unpaused: Vec<InstanceId> =
             self.hosts.iter().filter(|(_, host)| host.paused_until <= now).map(|(id, _)| *id).collect();
-        if let Some(entry) = awake.into_iter().choose(&mut self.rng) {
+        if let Some(entry) = unpaused.into_iter().choose(&mut self.rng) {
             if let Some(flow) = self.callers.flows.get_mut(&caller) {
                 flow.sent += 1;
             }
--- a/crates/core/tests/targets.rs
+++ b/crates/core/tests/targets.rs
@@ -91,7 +91,7 @@
 fn a_local_port_is_not_reused_immediately() {
     let descriptor =
         TargetDescriptor { id: 1, address: "10.0.0.9:8080".parse().unwrap(), failure_domain: "norte".to_owned() };
-    let key = |last: u8| FlowKey { service: 5, caller: ([10, 0, 0, last], 4_000).into() };
+    let key = |last_octet: u8| FlowKey { service: 5, caller: ([10, 0, 0, last_octet], 4_000).into() };
     let mut table = FlowTable::new(100);
     let now = Duration::from_secs(1);
     let first = table.insert_here(now, key(1), &descriptor, 0).unwrap();
@@ -116,10 +116,11 @@
     let target = &set.target_groups[1].targets[1];
     let descriptor =
         TargetDescriptor { id: target.id("avisos"), address: target.address, failure_domain: "sur".to_owned() };
-    let key = |last: u8| FlowKey { service: set.services[1].id(), caller: ([10, 0, 0, last], 4_000).into() };
+    let key =
+        |last_octet: u8| FlowKey { service: set.services[1].id(), caller: ([10, 0, 0, last_octet], 4_000).into() };
     let mut table = FlowTable::new(100);
     let now = Duration::from_secs(1);
-    let is_closed = |table: &mut FlowTable, last| match table.touch(now, &key(last), None).unwrap().holder {
+    let is_closed = |table: &mut FlowTable, last_octet| match table.touch(now, &key(last_octet), None).unwrap().holder {
         Holder::Here { seat, .. } => table.seat(seat).block().is_some(),
         Holder::Instance(_) => panic!("the flow is held here"),
     };
@@ -145,13 +146,13 @@
     let mut invariant_counters = InvariantCounters::default();
     let mut admit =
         |request, class| coordinator.admit(now, request, group, class, LeaseState::Valid, &mut invariant_counters);
-    let capacity = 14 * 2 * 4;
-    for request in 0..capacity {
+    let queue_capacity = 14 * 2 * 4;
+    for request in 0..queue_capacity {
         assert_eq!(admit(request, Class::Bulk), Admission::Queued);
     }
-    assert_eq!(admit(capacity, Class::Bulk), Admission::Full);
-    assert_eq!(admit(capacity + 1, Class::Critical), Admission::QueuedInsteadOf(capacity - 1));
+    assert_eq!(admit(queue_capacity, Class::Bulk), Admission::Full);
+    assert_eq!(admit(queue_capacity + 1, Class::Critical), Admission::QueuedInsteadOf(queue_capacity - 1));
     let later = now + Duration::from_secs(2);
     let started = coordinator.start_queued(later, LeaseState::Valid, &mut InvariantCounters::default());
-    assert_eq!(started.first().map(|(request, _)| *request), Some(capacity + 1));
+    assert_eq!(started.first().map(|(request, _)| *request), Some(queue_capacity + 1));
 }
