--- a/crates/soak/src/ledger.rs
+++ b/crates/soak/src/ledger.rs
@@ -1,4 +1,4 @@
-//! What callers and targets have seen, held against the promises.
+//! Observations of callers and targets, checked against the invariants.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -13,77 +13,81 @@
 use strum::EnumIter;
 use strum::EnumString;
 
-/// Number of a request, unique within a run.
+/// Id of a request, unique within a run.
 pub type RequestId = u64;
 
-/// Time after an operator's or target's word within which instances must have acted on it, with room for a busy machine.
-pub const IN_FORCE: Duration = Duration::from_secs(8);
-/// Flows that a cold target may get within a second.
-const COLD_LIMIT: usize = 5;
+/// Time within which instances must act on a change by an operator or a target; it has a margin for a busy machine.
+pub const PROPAGATION_LIMIT: Duration = Duration::from_secs(8);
+/// Largest number of flows that a cold target may receive within one second.
+const MAX_COLD_FLOWS_PER_SECOND: usize = 5;
 
-/// A promise that a run may break.
+/// A property that every run must keep; its kebab-case name is the value of `--sabotage`.
 #[derive(Clone, Copy, Debug, Display, EnumIter, EnumString, Eq, Ord, PartialEq, PartialOrd)]
 #[strum(serialize_all = "kebab-case")]
-pub enum Promise {
-    /// A request runs once at most.
+pub enum Invariant {
+    /// A request runs at most once.
     RunOnce,
-    /// A request runs at a service that its route leads to.
+    /// A request runs only at the service of its route.
     RightService,
-    /// An answer belongs to its request and is whole.
+    /// An answer belongs to its request and is complete.
     WholeAnswer,
-    /// Packets arrive as they were written.
+    /// Packets arrive unmodified, apart from the cookie.
     Genuine,
-    /// No instance resets a flow that is open at a target that lives.
+    /// No instance resets a flow that is open at a running target, unless its route was removed.
     NoForeignReset,
-    /// A target that drains gets no new flow.
+    /// A draining target receives no new flow.
     Drain,
-    /// A failure domain that is taken out gets no new flow.
+    /// An evacuated failure domain receives no new flow.
     Evacuation,
-    /// A cold target gets a trickle.
+    /// A cold target receives new flows at a limited rate.
     Cold,
-    /// A route that was removed leads nowhere.
+    /// No flow opens through a removed route.
     DroppedRoute,
-    /// Service comes back after all instances were killed.
+    /// Requests are answered again after all instances were killed, and no instance exits by itself.
     Recovery,
 }
 
-/// A promise that was broken.
+/// One violation of an invariant.
 #[derive(Clone, Debug)]
 pub struct Breach {
-    /// Which.
-    pub promise: Promise,
-    /// When, since the start of the run.
+    /// The violated invariant.
+    pub invariant: Invariant,
+    /// Time since the start of the run.
     pub at: Duration,
-    /// What was seen.
-    pub what: String,
+    /// Description of the observation.
+    pub detail: String,
 }
 
 #[derive(Debug, Default)]
 struct State {
+    /// Number of runs of each request.
     runs: BTreeMap<RequestId, u32>,
     asked: u64,
+    /// Number of answered requests in each second of the run.
     answered: BTreeMap<u64, u64>,
     failed: u64,
-    open: BTreeSet<(SocketAddrV4, SocketAddrV4)>,
+    /// Flows that are open at a target.
+    open_flows: BTreeSet<(SocketAddrV4, SocketAddrV4)>,
+    /// Flows that a target has reset.
     target_resets: BTreeSet<(SocketAddrV4, SocketAddrV4)>,
-    /// Ports of routes that were removed, and when.
-    dropped: BTreeMap<u16, Instant>,
-    /// When each route that ever was removed was so the last time.
-    last_dropped: BTreeMap<u16, Instant>,
+    /// Ports of routes that are removed at present, and the time of the removal.
+    removed_routes: BTreeMap<u16, Instant>,
+    /// Time of the latest removal of each route that was ever removed, published again or not.
+    last_removed: BTreeMap<u16, Instant>,
     breaches: Vec<Breach>,
     timeline: Vec<(Duration, String)>,
 }
 
-/// The ledger of a run.
+/// Records the observations of a run and checks them as they arrive.
 #[derive(Debug)]
 pub struct Ledger {
-    started: Instant,
+    started_at: Instant,
     state: Mutex<State>,
 }
 
 impl Default for Ledger {
     fn default() -> Self {
-        Self { started: Instant::now(), state: Mutex::default() }
+        Self { started_at: Instant::now(), state: Mutex::default() }
     }
 }
 
@@ -95,23 +99,23 @@
     /// Returns the time since the start of the run.
     #[must_use]
     pub fn elapsed(&self) -> Duration {
-        self.started.elapsed()
+        self.started_at.elapsed()
     }
 
-    /// Notes that a promise was broken.
-    pub fn breach(&self, promise: Promise, what: impl Into<String>) {
+    /// Records the violation of an invariant.
+    pub fn record_breach(&self, invariant: Invariant, detail: impl Into<String>) {
         let at = self.elapsed();
-        self.state().breaches.push(Breach { promise, at, what: what.into() });
+        self.state().breaches.push(Breach { invariant, at, detail: detail.into() });
     }
 
-    /// Notes a fault or another event for the time line.
-    pub fn event(&self, what: impl Into<String>) {
+    /// Records a fault or another event in the time line.
+    pub fn record_event(&self, detail: impl Into<String>) {
         let at = self.elapsed();
-        self.state().timeline.push((at, what.into()));
+        self.state().timeline.push((at, detail.into()));
     }
 
-    /// Notes that a target began to work on a request.
-    pub fn ran(&self, request: RequestId, may_repeat: bool) {
+    /// Records that a target started to process a request; a second run is a breach unless `may_repeat`.
+    pub fn record_run(&self, request: RequestId, may_repeat: bool) {
         let runs = {
             let mut state = self.state();
             let runs = state.runs.entry(request).or_insert(0);
@@ -119,17 +123,17 @@
             *runs
         };
         if runs > 1 && !may_repeat {
-            self.breach(Promise::RunOnce, format!("request {request} ran {runs} times"));
+            self.record_breach(Invariant::RunOnce, format!("request {request} ran {runs} times"));
         }
     }
 
-    /// Notes that a request was asked.
-    pub fn asked(&self) {
+    /// Records that a caller started a request.
+    pub fn record_request(&self) {
         self.state().asked += 1;
     }
 
-    /// Notes how a request ended.
-    pub fn ended(&self, answered: bool) {
+    /// Records the end of a request, answered or failed.
+    pub fn record_end(&self, answered: bool) {
         let second = self.elapsed().as_secs();
         let mut state = self.state();
         if answered {
@@ -139,83 +143,89 @@
         }
     }
 
-    /// Notes that a flow is open at a target, or no longer.
-    pub fn set_open(&self, flow: (SocketAddrV4, SocketAddrV4), open: bool) {
+    /// Records whether a flow is open at a target.
+    pub fn set_flow_open(&self, flow: (SocketAddrV4, SocketAddrV4), open: bool) {
         let mut state = self.state();
         if open {
-            state.open.insert(flow);
+            state.open_flows.insert(flow);
         } else {
-            state.open.remove(&flow);
+            state.open_flows.remove(&flow);
         }
     }
 
-    /// Notes that a target has reset a flow itself.
-    pub fn target_reset(&self, flow: (SocketAddrV4, SocketAddrV4)) {
+    /// Records that a target has reset a flow.
+    pub fn record_target_reset(&self, flow: (SocketAddrV4, SocketAddrV4)) {
         self.state().target_resets.insert(flow);
     }
 
-    /// Notes that a caller got a reset.
-    pub fn caller_reset(&self, flow: (SocketAddrV4, SocketAddrV4)) {
+    /// Records that a caller received a reset from an instance, and checks that it was allowed.
+    pub fn record_caller_reset(&self, flow: (SocketAddrV4, SocketAddrV4)) {
         let (open, allowed) = {
             let state = self.state();
-            let dropped = state.last_dropped.get(&flow.1.port()).is_some_and(|at| at.elapsed() <= IN_FORCE);
-            (state.open.contains(&flow), dropped || state.target_resets.contains(&flow))
+            let removed = state.last_removed.get(&flow.1.port()).is_some_and(|at| at.elapsed() <= PROPAGATION_LIMIT);
+            (state.open_flows.contains(&flow), removed || state.target_resets.contains(&flow))
         };
-        // A flow ends with its route, and with a target that says so itself.
+        // A reset is allowed for a flow whose route was just removed, and for one that the target has reset.
         if open && !allowed {
-            self.breach(Promise::NoForeignReset, format!("flow {}>{} was reset while open", flow.0, flow.1));
+            self.record_breach(Invariant::NoForeignReset, format!("flow {}>{} was reset while open", flow.0, flow.1));
         }
     }
 
-    /// Notes that the route to a port was published or removed.
+    /// Records that the route to a port is published or removed.
     pub fn set_route(&self, port: u16, published: bool) {
         let mut state = self.state();
         if published {
-            state.dropped.remove(&port);
+            state.removed_routes.remove(&port);
         } else {
-            let at = *state.dropped.entry(port).or_insert_with(Instant::now);
-            state.last_dropped.insert(port, at);
+            let at = *state.removed_routes.entry(port).or_insert_with(Instant::now);
+            state.last_removed.insert(port, at);
         }
     }
 
-    /// Notes that a flow to a port has opened at a target.
-    pub fn opened(&self, port: u16) {
-        let dropped = self.state().dropped.get(&port).copied();
-        if dropped.is_some_and(|at| at.elapsed() > IN_FORCE) {
-            self.breach(Promise::DroppedRoute, format!("a flow to port {port} opened after its route was removed"));
+    /// Records that a flow to a port has opened at a target, and checks that its route is not long removed.
+    pub fn record_flow_opened(&self, port: u16) {
+        let removed = self.state().removed_routes.get(&port).copied();
+        if removed.is_some_and(|at| at.elapsed() > PROPAGATION_LIMIT) {
+            self.record_breach(
+                Invariant::DroppedRoute,
+                format!("a flow to port {port} opened after its route was removed"),
+            );
         }
     }
 
-    /// Checks the times at which a cold target got flows.
+    /// Checks the rate at which a cold target received new flows; at most one breach is recorded per call.
     pub fn check_cold(&self, target: &str, opened: &[Instant]) {
         for from in opened {
             let within = opened.iter().filter(|at| **at >= *from && **at < *from + Duration::from_secs(1)).count();
-            if within > COLD_LIMIT {
-                self.breach(Promise::Cold, format!("target {target} got {within} flows within a second while cold"));
+            if within > MAX_COLD_FLOWS_PER_SECOND {
+                self.record_breach(
+                    Invariant::Cold,
+                    format!("target {target} received {within} flows within a second while cold"),
+                );
                 return;
             }
         }
     }
 
-    /// Returns how many requests were answered in a span of seconds.
+    /// Returns the number of requests answered from second `from` up to, not including, second `to` of the run.
     #[must_use]
     pub fn answered_between(&self, from: u64, to: u64) -> u64 {
         self.state().answered.range(from..to).map(|(_, count)| count).sum()
     }
 
-    /// Returns the breaches so far.
+    /// Returns the breaches recorded so far.
     #[must_use]
     pub fn breaches(&self) -> Vec<Breach> {
         self.state().breaches.clone()
     }
 
-    /// Returns the time line.
+    /// Returns the recorded events with their times since the start of the run.
     #[must_use]
     pub fn timeline(&self) -> Vec<(Duration, String)> {
         self.state().timeline.clone()
     }
 
-    /// Returns how many requests were asked, were answered and failed.
+    /// Returns the numbers of requests that were started, answered and failed.
     #[must_use]
     pub fn totals(&self) -> (u64, u64, u64) {
         let state = self.state();
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,8 +1,10 @@
-//! A fault soak: real instances as separate processes, with targets and callers that speak the platform's packets.
+//! A soak test with fault injection: real instances as separate processes, with simulated targets and callers that
+//! exchange the platform's packets.
 //!
-//! [`rig`] starts and ends the processes; [`target`] and [`caller`] are the two ends of every flow, [`wire`] writes their
-//! packets; [`proxy`] stands between an instance and the store; [`plan`] draws the faults from a seed; [`ledger`] collects
-//! what callers and targets have seen and holds it against the promises; [`run`] puts them together.
+//! [`rig`] starts and stops the processes. [`target`] and [`caller`] are the two ends of every flow, and [`wire`] encodes
+//! their packets. [`proxy`] forwards connections between an instance and the store and can break them. [`plan`] generates
+//! the faults from a seed. [`ledger`] records the observations of callers and targets and checks them against the
+//! invariants. [`run`] combines these parts into one run.
 
 pub mod caller;
 pub mod ledger;
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -1,4 +1,4 @@
-//! Faults, drawn from a seed.
+//! Generates the faults of a run from a seed.
 
 use std::time::Duration;
 
@@ -7,107 +7,107 @@
 use rand::rngs::SmallRng;
 use strum::Display;
 
-use crate::proxy::Line;
+use crate::proxy::ProxyMode;
 
-/// Something that happens to the system.
+/// A fault or another disturbance that a run injects.
 #[derive(Clone, Copy, Debug, Display, PartialEq)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Fault {
-    /// An instance is asked to stop and starts again.
+    /// An instance gets SIGTERM and is started again.
     Terminate(usize),
-    /// An instance is killed and starts again.
+    /// An instance is killed and started again.
     Kill(usize),
-    /// All instances are killed and start again.
+    /// All instances are killed and started again.
     KillAll,
-    /// An instance stands still for a while.
+    /// An instance is paused (SIGSTOP) for this time.
     Pause(usize, Duration),
-    /// An instance is told that its settings have changed.
+    /// An instance's settings file is rewritten and the instance gets SIGHUP.
     Reload(usize),
-    /// An instance's line to the store changes for a while.
-    StoreLine(usize, Line, Duration),
-    /// The store answers nobody for a while.
+    /// The proxy between an instance and the store is in this mode for this time.
+    StoreLine(usize, ProxyMode, Duration),
+    /// The store answers no request for this time.
     StoreSilent(Duration),
-    /// The store refuses everybody for a while.
+    /// The store answers every request with this HTTP status for this time.
     StoreRefuses(u16, Duration),
-    /// The store forgets its history.
+    /// The store compacts its history.
     StoreForgets,
-    /// A target falls silent and comes back cold under the same id.
+    /// A target crashes and restarts cold under the same id.
     TargetDies(usize, Duration),
-    /// A target drains for a while.
+    /// A target drains for this time.
     TargetDrains(usize, Duration),
-    /// A target is slow for a while.
+    /// A target is slow for this time.
     TargetSlow(usize, Duration),
-    /// Somebody else overwrites a target's entry.
+    /// A target's store entry is overwritten with an invalid one.
     EntryBroken(usize),
-    /// A failure domain is taken out for a while.
+    /// A failure domain is evacuated for this time.
     Evacuate(usize, Duration),
-    /// The configuration gets and loses a route.
+    /// The extra route is added to the configuration, or removed from it.
     Routes,
-    /// Callers' packets are lost, doubled and overtaken for a while.
+    /// Callers' packets are lost, duplicated and reordered at a fixed rate for this time.
     Weather(Duration),
 }
 
-/// Sizes that a plan is drawn for.
+/// Numbers of components that faults can affect.
 #[derive(Clone, Copy, Debug)]
-pub struct Sizes {
-    /// Instances.
+pub struct SystemSize {
+    /// Number of instances.
     pub instances: usize,
-    /// Targets.
+    /// Number of targets.
     pub targets: usize,
-    /// Failure domains.
+    /// Number of failure domains.
     pub domains: usize,
 }
 
 /// Time before the first fault.
-const LEAD: Duration = Duration::from_secs(2);
-/// Longest pause between two faults; they come in series and overlap.
-const LONGEST_GAP: f64 = 0.9;
-/// Time without faults at the end, in which service must be back.
-pub const TAIL: Duration = Duration::from_secs(4);
+const LEAD_TIME: Duration = Duration::from_secs(2);
+/// Longest time from the start of one fault to the next, in seconds; shorter than most faults last, so they overlap.
+const MAX_FAULT_GAP_SECONDS: f64 = 0.9;
+/// Time without new faults at the end of a run, in which requests must be answered again.
+pub const RECOVERY_TIME: Duration = Duration::from_secs(4);
 
-/// Draws the faults of a run with the times at which they begin.
+/// Returns the faults of a run, each with its start since the start of the run; equal arguments give equal faults.
 #[must_use]
-pub fn draw(seed: u64, length: Duration, sizes: Sizes) -> Vec<(Duration, Fault)> {
+pub fn generate(seed: u64, length: Duration, size: SystemSize) -> Vec<(Duration, Fault)> {
     let mut rng = SmallRng::seed_from_u64(seed);
-    let mut at = LEAD;
+    let mut at = LEAD_TIME;
     let mut plan = Vec::new();
-    while at + TAIL < length {
-        plan.push((at, fault(&mut rng, sizes)));
-        at += Duration::from_secs_f64(rng.random_range(0.05..LONGEST_GAP));
+    while at + RECOVERY_TIME < length {
+        plan.push((at, draw_fault(&mut rng, size)));
+        at += Duration::from_secs_f64(rng.random_range(0.05..MAX_FAULT_GAP_SECONDS));
     }
-    // Every run ends with the hardest one.
+    // Every run ends with the most severe fault.
     plan.push((at, Fault::KillAll));
     plan
 }
 
-fn fault(rng: &mut SmallRng, sizes: Sizes) -> Fault {
-    let instance = rng.random_range(0..sizes.instances);
-    let target = rng.random_range(0..sizes.targets);
-    let domain = rng.random_range(0..sizes.domains);
-    let span = Duration::from_secs_f64(rng.random_range(0.3..3.0));
+fn draw_fault(rng: &mut SmallRng, size: SystemSize) -> Fault {
+    let instance = rng.random_range(0..size.instances);
+    let target = rng.random_range(0..size.targets);
+    let domain = rng.random_range(0..size.domains);
+    let duration = Duration::from_secs_f64(rng.random_range(0.3..3.0));
     match rng.random_range(0..20) {
         0 | 1 => Fault::Terminate(instance),
         2 | 3 => Fault::Kill(instance),
         4 => Fault::KillAll,
-        5 | 6 => Fault::Pause(instance, span),
+        5 | 6 => Fault::Pause(instance, duration),
         7 => Fault::Reload(instance),
-        8 => Fault::StoreLine(instance, Line::Reset, span),
-        9 => Fault::StoreLine(instance, Line::Silent, span),
-        10 => Fault::StoreLine(instance, if rng.random() { Line::OneWay } else { Line::Slow }, span),
-        11 => Fault::StoreSilent(span),
-        12 => Fault::StoreRefuses(if rng.random() { 429 } else { 503 }, span),
+        8 => Fault::StoreLine(instance, ProxyMode::Reset, duration),
+        9 => Fault::StoreLine(instance, ProxyMode::Silent, duration),
+        10 => Fault::StoreLine(instance, if rng.random() { ProxyMode::OneWay } else { ProxyMode::Slow }, duration),
+        11 => Fault::StoreSilent(duration),
+        12 => Fault::StoreRefuses(if rng.random() { 429 } else { 503 }, duration),
         13 => Fault::StoreForgets,
-        14 => Fault::TargetDies(target, span),
-        15 => Fault::TargetDrains(target, span * 4),
-        16 => Fault::TargetSlow(target, span),
+        14 => Fault::TargetDies(target, duration),
+        15 => Fault::TargetDrains(target, duration * 4),
+        16 => Fault::TargetSlow(target, duration),
         17 => Fault::EntryBroken(target),
         18 => {
             if rng.random() {
-                Fault::Evacuate(domain, span * 4)
+                Fault::Evacuate(domain, duration * 4)
             } else {
                 Fault::Routes
             }
         }
-        _ => Fault::Weather(span),
+        _ => Fault::Weather(duration),
     }
 }
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy between an instance and the store.
+//! A loopback TCP proxy between an instance and the store that can break connections.
 
 use std::io;
 use std::net::SocketAddr;
@@ -12,43 +12,43 @@
 use tokio::sync::watch;
 use tokio_util::sync::CancellationToken;
 
-/// What a proxy does with connections.
+/// How a proxy treats its connections.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
 #[strum(serialize_all = "kebab-case")]
-pub enum Line {
-    /// Passes everything on.
+pub enum ProxyMode {
+    /// Forwards both directions.
     Through,
-    /// Breaks connections off.
+    /// Closes connections.
     Reset,
-    /// Keeps connections and passes nothing.
+    /// Keeps connections open and drops the data of both directions.
     Silent,
-    /// Passes requests on and swallows answers.
+    /// Forwards requests and drops responses.
     OneWay,
-    /// Passes everything on late.
+    /// Forwards both directions with a delay.
     Slow,
 }
 
-/// Delay of a slow line.
-const SLOWNESS: std::time::Duration = std::time::Duration::from_millis(150);
+/// Delay of each read in the mode `Slow`.
+const SLOW_DELAY: std::time::Duration = std::time::Duration::from_millis(150);
 
-/// A running proxy.
+/// A running proxy; clones share its mode.
 #[derive(Clone, Debug)]
 pub struct Proxy {
     address: SocketAddr,
-    line: Arc<watch::Sender<Line>>,
+    mode: Arc<watch::Sender<ProxyMode>>,
 }
 
 impl Proxy {
-    /// Starts a proxy to an address.
+    /// Starts a proxy that forwards connections to the address `to`.
     ///
     /// # Errors
     ///
-    /// Fails when no port can be bound.
+    /// Returns the error of the listener if no loopback port can be bound.
     pub async fn start(to: SocketAddr, stop: CancellationToken) -> io::Result<Self> {
         let listener = TcpListener::bind(SocketAddr::from(([127, 0, 0, 1], 0))).await?;
         let address = listener.local_addr()?;
-        let (line, _) = watch::channel(Line::Through);
-        let proxy = Self { address, line: Arc::new(line) };
+        let (mode, _) = watch::channel(ProxyMode::Through);
+        let proxy = Self { address, mode: Arc::new(mode) };
         let accepting = proxy.clone();
         tokio::spawn(async move {
             loop {
@@ -58,55 +58,56 @@
                 };
                 let Ok((client, _)) = accepted else { continue };
                 let Ok(server) = TcpStream::connect(to).await else { continue };
-                accepting.join(client, server, &stop);
+                accepting.forward(client, server, &stop);
             }
         });
         Ok(proxy)
     }
 
-    /// Returns where it listens.
+    /// Returns the address that the proxy listens on.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Changes what it does, for connections that are open too.
-    pub fn set(&self, line: Line) {
-        self.line.send_replace(line);
+    /// Sets the mode, for open connections too.
+    pub fn set_mode(&self, mode: ProxyMode) {
+        self.mode.send_replace(mode);
     }
 
-    fn join(&self, client: TcpStream, server: TcpStream, stop: &CancellationToken) {
+    fn forward(&self, client: TcpStream, server: TcpStream, stop: &CancellationToken) {
         let (client_read, client_write) = client.into_split();
         let (server_read, server_write) = server.into_split();
-        tokio::spawn(pass(client_read, server_write, self.line.subscribe(), false, stop.clone()));
-        tokio::spawn(pass(server_read, client_write, self.line.subscribe(), true, stop.clone()));
+        tokio::spawn(copy_one_way(client_read, server_write, self.mode.subscribe(), false, stop.clone()));
+        tokio::spawn(copy_one_way(server_read, client_write, self.mode.subscribe(), true, stop.clone()));
     }
 }
 
-async fn pass(
+/// Copies data in one direction until either end closes, the mode is `Reset` or `stop` is cancelled.
+async fn copy_one_way(
     mut from: tokio::net::tcp::OwnedReadHalf,
     mut to: tokio::net::tcp::OwnedWriteHalf,
-    mut line: watch::Receiver<Line>,
-    answers: bool,
+    mut mode: watch::Receiver<ProxyMode>,
+    from_server: bool,
     stop: CancellationToken,
 ) {
     let mut buf = vec![0; 16_384];
     loop {
-        let now = *line.borrow_and_update();
-        if now == Line::Reset {
+        let current_mode = *mode.borrow_and_update();
+        if current_mode == ProxyMode::Reset {
             return;
         }
         let read = tokio::select! {
             () = stop.cancelled() => return,
-            changed = line.changed() => if changed.is_ok() { continue } else { return },
+            changed = mode.changed() => if changed.is_ok() { continue } else { return },
             read = from.read(&mut buf) => read,
         };
         let Ok(len @ 1..) = read else { return };
-        match now {
-            Line::Silent => continue,
-            Line::OneWay if answers => continue,
-            Line::Slow => tokio::time::sleep(SLOWNESS).await,
-            Line::Through | Line::OneWay | Line::Reset => {}
+        match current_mode {
+            ProxyMode::Silent => continue,
+            ProxyMode::OneWay if from_server => continue,
+            ProxyMode::Slow => tokio::time::sleep(SLOW_DELAY).await,
+            ProxyMode::Through | ProxyMode::OneWay | ProxyMode::Reset => {}
         }
         if to.write_all(&buf[..len]).await.is_err() {
             return;
--- a/crates/soak/src/rig.rs
+++ b/crates/soak/src/rig.rs
@@ -1,4 +1,4 @@
-//! Instances as processes, started and ended by their own ids only.
+//! Instances as child processes; only processes that were started here are signalled or killed, by their ids.
 
 use std::fs::File;
 use std::io;
@@ -12,40 +12,41 @@
 
 use serde_json::json;
 
-/// Ports of all instances of a run; each instance has an address of its own.
+/// Ports that all instances of a run use; each instance has its own IP address.
 #[derive(Clone, Copy, Debug)]
 pub struct Ports {
-    /// Callers' packets, at instances and at callers.
+    /// Port of callers' packets, at instances and at callers.
     pub packets: u16,
-    /// Readiness.
+    /// Port of the readiness endpoint.
     pub ready: u16,
-    /// Operators.
+    /// Port of the operators' interface.
     pub control: u16,
-    /// Messages between instances.
+    /// Port of messages between instances.
     pub peers: u16,
-    /// Metrics and dump.
+    /// Port of metrics and dump.
     pub metrics: u16,
 }
 
-/// One instance and its process, if it runs.
+/// One instance and its process, if it has been started; dropping it kills the process.
 #[derive(Debug)]
 pub struct Instance {
-    /// Its name.
+    /// Name of the instance.
     pub name: String,
-    /// Its address.
+    /// IP address of the instance.
     pub ip: Ipv4Addr,
     ports: Ports,
     directory: PathBuf,
     child: Option<Child>,
-    life: u32,
+    /// Number of starts; part of the name of the log file.
+    start_count: u32,
 }
 
 impl Instance {
-    /// Describes an instance and writes its settings file.
+    /// Creates an instance that is not started yet, and writes its settings file into `directory`.
     ///
     /// # Errors
     ///
-    /// Fails when the file cannot be written.
+    /// Returns the error of the file system if the file cannot be written.
     pub fn new(
         (index, domain): (usize, &str),
         ip: Ipv4Addr,
@@ -65,20 +66,20 @@
             "bounds": { "evac-ms": 5_000, "grace-s": 3 }, "platform": { "address": store.to_string() },
         });
         std::fs::write(directory.join(format!("{name}.json")), settings.to_string())?;
-        Ok(Self { name, ip, ports, directory: directory.to_owned(), child: None, life: 0 })
+        Ok(Self { name, ip, ports, directory: directory.to_owned(), child: None, start_count: 0 })
     }
 
-    /// Starts the process; its log goes to a file of its own.
+    /// Starts the process unless it runs; each start has its own log file.
     ///
     /// # Errors
     ///
-    /// Fails when the program or the file cannot be opened.
+    /// Returns the error if the log file cannot be created or the executable cannot be started.
     pub fn start(&mut self, binary: &Path) -> io::Result<()> {
         if self.is_running() {
             return Ok(());
         }
-        self.life += 1;
-        let log = File::create(self.directory.join(format!("{}.{}.log", self.name, self.life)))?;
+        self.start_count += 1;
+        let log = File::create(self.directory.join(format!("{}.{}.log", self.name, self.start_count)))?;
         let child = Command::new(binary)
             .arg("direct")
             .arg("--settings")
@@ -93,43 +94,43 @@
         Ok(())
     }
 
-    /// Returns where the settings file lies.
+    /// Returns the path of the settings file.
     #[must_use]
     pub fn settings_path(&self) -> PathBuf {
         self.directory.join(format!("{}.json", self.name))
     }
 
-    /// Returns where callers' packets go and where readiness is asked for.
+    /// Returns the address for callers' packets and the address of the readiness endpoint.
     #[must_use]
     pub fn addresses(&self) -> (SocketAddr, SocketAddr) {
         (SocketAddr::from((self.ip, self.ports.packets)), SocketAddr::from((self.ip, self.ports.ready)))
     }
 
-    /// Returns where metrics are served.
+    /// Returns the address that serves metrics.
     #[must_use]
     pub fn metrics(&self) -> SocketAddr {
         SocketAddr::from((self.ip, self.ports.metrics))
     }
 
-    /// Tells whether the process runs.
+    /// Returns whether the process is running.
     pub fn is_running(&mut self) -> bool {
         self.child.as_mut().is_some_and(|child| matches!(child.try_wait(), Ok(None)))
     }
 
-    /// Returns how a process has ended that nobody waited for.
+    /// Returns the exit status of a process that has exited without [`Instance::kill`]; `None` if it runs or was killed.
     pub fn ended(&mut self) -> Option<std::process::ExitStatus> {
         self.child.as_mut()?.try_wait().ok().flatten()
     }
 
-    /// Sends a signal by its name.
+    /// Sends a signal, given by its name without `SIG`.
     pub fn signal(&mut self, name: &str) {
-        if let Some(child) = self.child.as_ref().filter(|_| self.life > 0) {
-            // A process that has just ended cannot be signalled; the run goes on without it.
+        if let Some(child) = self.child.as_ref().filter(|_| self.start_count > 0) {
+            // Fails if the process has just exited, which is no error of the run.
             let _ = Command::new("kill").arg(format!("-{name}")).arg(child.id().to_string()).status();
         }
     }
 
-    /// Kills the process and waits for its end.
+    /// Kills the process and waits for its exit.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -1,4 +1,4 @@
-//! One run: the system, its load, its faults, its verdict.
+//! One run: starts the system, sends load, injects faults and collects the verdict.
 
 use std::io;
 use std::net::Ipv4Addr;
@@ -19,14 +19,14 @@
 
 use crate::caller::Callers;
 use crate::ledger::Breach;
+use crate::ledger::Invariant;
 use crate::ledger::Ledger;
-use crate::ledger::Promise;
 use crate::plan;
 use crate::plan::Fault;
-use crate::plan::Sizes;
-use crate::plan::TAIL;
-use crate::proxy::Line;
+use crate::plan::RECOVERY_TIME;
+use crate::plan::SystemSize;
 use crate::proxy::Proxy;
+use crate::proxy::ProxyMode;
 use crate::rig::Instance;
 use crate::rig::Ports;
 use crate::target::HEARTBEAT;
@@ -34,58 +34,59 @@
 use hawthornshift_standins::Store;
 use hawthornshift_standins::store::Mood;
 
-/// Failure domains of a run.
+/// Number of failure domains.
 const DOMAINS: usize = 3;
-/// Services with their routes' ports and the share of the targets.
+/// Services and the ports of their routes; one in four targets and requests belongs to the second one.
 const SERVICES: [(&str, u16); 2] = [("orders", 443), ("guides", 8_443)];
-/// A route that comes and goes.
+/// Port of the route that `Fault::Routes` adds and removes.
 const EXTRA_PORT: u16 = 9_443;
-/// Address that callers send to.
-const FRONT: Ipv4Addr = Ipv4Addr::new(198, 18, 0, 1);
-/// How long a target that has come back is cold.
-const COLD: Duration = Duration::from_secs(2);
-/// Time after a kill until an instance starts again.
-const RESTART: Duration = Duration::from_millis(300);
-/// Of a thousand packets, those that are lost in bad weather, those that are doubled, and those that are held back.
-const BAD_WEATHER: u32 = 40;
-/// Time that an instance has for a planned stop.
-const GRACE: Duration = Duration::from_secs(3);
-/// Time after which a silent target's entry lapses.
-const LAPSE: Duration = Duration::from_secs(3);
+/// IP address of all routes, which callers send to.
+const ROUTE_IP: Ipv4Addr = Ipv4Addr::new(198, 18, 0, 1);
+/// Time for which a restarted target is cold.
+const COLD_TIME: Duration = Duration::from_secs(2);
+/// Time from the kill of an instance to its next start.
+const RESTART_DELAY: Duration = Duration::from_millis(300);
+/// Rate of each network impairment (loss, duplication, delay) while it is injected, in packets per thousand.
+const IMPAIRED_PER_MILLE: u32 = 40;
+/// Time that an instance has for a graceful stop, before it is killed.
+const STOP_GRACE: Duration = Duration::from_secs(3);
+/// Longest time from the crash of a target to the removal of its store entry.
+const ENTRY_EXPIRY: Duration = Duration::from_secs(3);
 
-/// What a run is asked for.
+/// Options of a run.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Seed of the faults.
+    /// Seed that the faults are generated from.
     pub seed: u64,
-    /// Length of the run.
+    /// Length of the run, up to the last fault plus the time for recovery.
     pub length: Duration,
     /// Number of instances.
     pub instances: usize,
     /// Number of targets.
     pub targets: usize,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// The program of an instance.
+    /// Path of the instance executable.
     pub binary: PathBuf,
-    /// Where logs and settings go.
+    /// Directory for logs and settings.
     pub directory: PathBuf,
-    /// A promise that a stand-in breaks, to show that its check can fail.
-    pub sabotage: Option<Promise>,
+    /// Invariant that a simulated caller or target violates, to prove that its check can fail.
+    pub sabotage: Option<Invariant>,
 }
 
-/// What came of a run.
+/// Result of a run.
 #[derive(Clone, Debug)]
 pub struct Verdict {
-    /// Broken promises.
+    /// Violated invariants; empty if the run passed.
     pub breaches: Vec<Breach>,
-    /// What happened when.
+    /// Injected faults and other events, each with its time since the start of the run.
     pub timeline: Vec<(Duration, String)>,
-    /// Requests asked, answered, failed.
+    /// Numbers of requests started, answered and failed.
     pub totals: (u64, u64, u64),
 }
 
-struct World {
+/// The instances, their store, the simulated targets and callers, and the ledger of a run.
+struct System {
     options: Options,
     ledger: Arc<Ledger>,
     store: Store,
@@ -93,31 +94,33 @@
     instances: Vec<Mutex<Instance>>,
     targets: Vec<Target>,
     callers: Arc<Callers>,
+    /// Version of the configuration, and whether it has the extra route.
     version: Mutex<(u64, bool)>,
 }
 
-/// Runs once.
+/// Carries out one run.
 ///
 /// # Errors
 ///
-/// Fails when the system cannot be put together; broken promises are in the verdict.
+/// Returns the error if a directory, socket, file or process cannot be created; violated invariants are in the verdict.
 pub async fn run(options: Options) -> io::Result<Verdict> {
     std::fs::create_dir_all(&options.directory)?;
     let stop = CancellationToken::new();
     let _stopped_at_the_end = stop.clone().drop_guard();
-    let world = Arc::new(World::build(options.clone(), &stop).await?);
-    world.configure().await;
-    for instance in &world.instances {
+    let system = Arc::new(System::build(options.clone(), &stop).await?);
+    system.publish_configuration().await;
+    for instance in &system.instances {
         instance.lock().await.start(&options.binary)?;
     }
-    let beats = tokio::spawn(Arc::clone(&world).heartbeats());
-    let load = tokio::spawn(Arc::clone(&world).load());
-    world.play().await;
-    load.abort();
-    beats.abort();
-    world.verdict().await
+    let heartbeat_task = tokio::spawn(Arc::clone(&system).send_heartbeats());
+    let load_task = tokio::spawn(Arc::clone(&system).send_requests());
+    system.run_faults().await;
+    load_task.abort();
+    heartbeat_task.abort();
+    system.collect_verdict().await
 }
 
+/// Returns ports that were free when they were bound together a moment ago.
 fn free_ports() -> io::Result<Ports> {
     let taken: Vec<TcpListener> =
         (0..5).map(|_| TcpListener::bind((Ipv4Addr::LOCALHOST, 0))).collect::<io::Result<_>>()?;
@@ -129,17 +132,17 @@
     format!("domain-{}", index % DOMAINS)
 }
 
-/// Returns the second byte of a run's addresses, so that runs of several processes do not meet.
-fn network() -> u8 {
+/// Returns the second byte of a run's loopback addresses, from the process id, so that concurrent runs rarely share one.
+fn subnet() -> u8 {
     u8::try_from(16 + std::process::id() % 200).unwrap_or(16)
 }
 
 fn instance_ip(index: usize) -> Ipv4Addr {
     let [high, low] = u16::try_from(index + 1).unwrap_or(u16::MAX).to_be_bytes();
-    Ipv4Addr::new(127, network(), high, low)
+    Ipv4Addr::new(127, subnet(), high, low)
 }
 
-impl World {
+impl System {
     async fn build(options: Options, stop: &CancellationToken) -> io::Result<Self> {
         let ledger = Arc::new(Ledger::default());
         let store = Store::start(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)), stop.clone()).await?;
@@ -164,14 +167,14 @@
             let service = SERVICES[usize::from(index % 4 == 3)].0;
             let address = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
             let name = (0x1000 + index as u64, service, domain(index));
-            let named = (name.0, name.1, name.2.as_str());
+            let identity = (name.0, name.1, name.2.as_str());
             targets.push(
-                Target::start(named, address, ports.packets, (Arc::clone(&ledger), options.sabotage), stop.clone())
+                Target::start(identity, address, ports.packets, (Arc::clone(&ledger), options.sabotage), stop.clone())
                     .await?,
             );
         }
         let addresses = instances.iter().map(Instance::addresses).collect();
-        let from = SocketAddrV4::new(Ipv4Addr::new(127, network(), u8::MAX, 1), ports.packets);
+        let from = SocketAddrV4::new(Ipv4Addr::new(127, subnet(), u8::MAX, 1), ports.packets);
         let callers = Callers::start(from, addresses, Arc::clone(&ledger), stop.clone()).await?;
         let instances = instances.into_iter().map(Mutex::new).collect();
         let version = Mutex::new((0, false));
@@ -179,19 +182,19 @@
     }
 
     /// Publishes a new version of the configuration.
-    async fn configure(&self) {
+    async fn publish_configuration(&self) {
         let mut version = self.version.lock().await;
         version.0 += 3;
         let route = |name: &str, port: u16, service: &str| {
             json!({
-                "name": name, "hostname": FRONT.to_string(), "prefix": format!("/{port}/"), "type": "unsafe",
+                "name": name, "hostname": ROUTE_IP.to_string(), "prefix": format!("/{port}/"), "type": "unsafe",
                 "timeout-ms": 2_000, "target-latency-ms": 200, "priority": 1, "service": service, "attempts": 1,
             })
         };
         let mut routes: Vec<_> = SERVICES.iter().map(|(service, port)| route(service, *port, service)).collect();
-        let kept_against_all_word = self.options.sabotage == Some(Promise::DroppedRoute);
-        self.ledger.set_route(EXTRA_PORT, version.1 && !kept_against_all_word);
-        if version.1 || kept_against_all_word {
+        let ignores_removal = self.options.sabotage == Some(Invariant::DroppedRoute);
+        self.ledger.set_route(EXTRA_PORT, version.1 && !ignores_removal);
+        if version.1 || ignores_removal {
             routes.push(route("extra", EXTRA_PORT, SERVICES[0].0));
         }
         let services = SERVICES.map(|(name, _)| json!({ "name": name, "warmup-s": 2.0, "warmup-per-s": 0.0 }));
@@ -202,14 +205,16 @@
         self.targets.iter().for_each(|target| target.register(&self.store));
     }
 
-    async fn heartbeats(self: Arc<Self>) {
+    /// Writes the entries of all targets periodically.
+    async fn send_heartbeats(self: Arc<Self>) {
         loop {
             tokio::time::sleep(HEARTBEAT).await;
             self.targets.iter().for_each(|target| target.register(&self.store));
         }
     }
 
-    async fn load(self: Arc<Self>) {
+    /// Sends requests at a constant rate, whether earlier ones have ended or not (open loop).
+    async fn send_requests(self: Arc<Self>) {
         let gap = Duration::from_secs_f64(1.0 / self.options.rate);
         let mut requests = JoinSet::new();
         let mut next = Instant::now();
@@ -220,62 +225,65 @@
             if number % 12 == 4 {
                 port = EXTRA_PORT;
             }
-            let mut named = service;
-            if self.options.sabotage == Some(Promise::RightService) {
-                named = "another";
+            let mut request_service = service;
+            if self.options.sabotage == Some(Invariant::RightService) {
+                request_service = "another";
             }
-            let route = SocketAddrV4::new(FRONT, port);
-            requests.spawn(Arc::clone(&self.callers).request(route, named.to_owned()));
+            let route = SocketAddrV4::new(ROUTE_IP, port);
+            requests.spawn(Arc::clone(&self.callers).request(route, request_service.to_owned()));
             while requests.try_join_next().is_some() {}
         }
     }
 
-    async fn play(self: &Arc<Self>) {
-        self.sabotage_from_the_start();
-        let sizes = Sizes { instances: self.instances.len(), targets: self.targets.len(), domains: DOMAINS };
+    /// Injects the faults at their times and waits until they and the time for recovery are over.
+    async fn run_faults(self: &Arc<Self>) {
+        self.violate_from_start();
+        let size = SystemSize { instances: self.instances.len(), targets: self.targets.len(), domains: DOMAINS };
         let start = Instant::now();
-        let mut acts = JoinSet::new();
+        let mut fault_tasks = JoinSet::new();
         let mut last = Duration::ZERO;
-        for (at, fault) in plan::draw(self.options.seed, self.options.length, sizes) {
+        for (at, fault) in plan::generate(self.options.seed, self.options.length, size) {
             tokio::time::sleep_until(start + at).await;
-            self.ledger.event(format!("{fault:?}"));
-            acts.spawn(Arc::clone(self).act(fault));
+            self.ledger.record_event(format!("{fault:?}"));
+            fault_tasks.spawn(Arc::clone(self).inject(fault));
             last = at;
         }
-        tokio::time::sleep_until(start + last + TAIL).await;
-        while acts.join_next().await.is_some() {}
-        self.sabotage();
+        tokio::time::sleep_until(start + last + RECOVERY_TIME).await;
+        while fault_tasks.join_next().await.is_some() {}
+        self.violate_at_end();
     }
 
-    /// Lets a stand-in expect what nobody has told the instances, or change what they never change.
-    fn sabotage_from_the_start(&self) {
+    /// Violates an invariant from the start: targets check for a state that instances are not told of, or callers send
+    /// corrupted packets.
+    fn violate_from_start(&self) {
         match self.options.sabotage {
-            Some(Promise::Drain) => self.targets.iter().for_each(|target| target.drain(true)),
-            Some(Promise::Evacuation) => self.targets.iter().for_each(|target| target.evacuate(true)),
-            Some(Promise::Genuine) => self.callers.weather.changed.store(BAD_WEATHER, Ordering::Relaxed),
+            Some(Invariant::Drain) => self.targets.iter().for_each(|target| target.set_draining(true)),
+            Some(Invariant::Evacuation) => self.targets.iter().for_each(|target| target.set_evacuated(true)),
+            Some(Invariant::Genuine) => self.callers.impairment.corrupted.store(IMPAIRED_PER_MILLE, Ordering::Relaxed),
             _ => {}
         }
     }
 
-    /// Breaks a promise from within a stand-in.
-    fn sabotage(&self) {
+    /// Violates an invariant at the end of the run, by recording observations that did not happen.
+    fn violate_at_end(&self) {
         match self.options.sabotage {
-            Some(Promise::RunOnce) => (0..2).for_each(|_| self.ledger.ran(u64::MAX, false)),
-            Some(Promise::NoForeignReset) => {
-                let flow = (SocketAddrV4::new(FRONT, 1), SocketAddrV4::new(FRONT, 2));
-                self.ledger.set_open(flow, true);
-                self.ledger.caller_reset(flow);
+            Some(Invariant::RunOnce) => (0..2).for_each(|_| self.ledger.record_run(u64::MAX, false)),
+            Some(Invariant::NoForeignReset) => {
+                let flow = (SocketAddrV4::new(ROUTE_IP, 1), SocketAddrV4::new(ROUTE_IP, 2));
+                self.ledger.set_flow_open(flow, true);
+                self.ledger.record_caller_reset(flow);
             }
-            Some(Promise::Cold) => self.ledger.check_cold("sabotaged", &[std::time::Instant::now(); 6]),
+            Some(Invariant::Cold) => self.ledger.check_cold("sabotaged", &[std::time::Instant::now(); 6]),
             _ => {}
         }
     }
 
-    async fn act(self: Arc<Self>, fault: Fault) {
+    /// Injects a fault and ends it after its time.
+    async fn inject(self: Arc<Self>, fault: Fault) {
         match fault {
             Fault::Terminate(index) => {
                 self.instances[index].lock().await.signal("TERM");
-                tokio::time::sleep(GRACE).await;
+                tokio::time::sleep(STOP_GRACE).await;
                 self.restart(index).await;
             }
             Fault::Kill(index) => self.restart(index).await,
@@ -283,130 +291,131 @@
                 for instance in &self.instances {
                     instance.lock().await.kill();
                 }
-                tokio::time::sleep(RESTART).await;
+                tokio::time::sleep(RESTART_DELAY).await;
                 for index in 0..self.instances.len() {
                     self.start(index).await;
                 }
             }
-            Fault::Pause(index, span) => {
+            Fault::Pause(index, duration) => {
                 self.instances[index].lock().await.signal("STOP");
-                tokio::time::sleep(span).await;
+                tokio::time::sleep(duration).await;
                 self.instances[index].lock().await.signal("CONT");
             }
             Fault::Reload(index) => {
                 let mut instance = self.instances[index].lock().await;
                 let path = instance.settings_path();
-                // The same text again: what counts is that the file has changed.
+                // The content stays the same; the instance has to handle the rewritten file.
                 if let Ok(text) = std::fs::read(&path) {
                     let _ = std::fs::write(&path, text);
                 }
                 instance.signal("HUP");
             }
-            Fault::StoreLine(index, line, span) => {
-                self.proxies[index].set(line);
-                tokio::time::sleep(span).await;
-                self.proxies[index].set(Line::Through);
+            Fault::StoreLine(index, mode, duration) => {
+                self.proxies[index].set_mode(mode);
+                tokio::time::sleep(duration).await;
+                self.proxies[index].set_mode(ProxyMode::Through);
             }
-            Fault::StoreSilent(span) => self.mood(Mood::Silent, span).await,
-            Fault::StoreRefuses(status, span) => self.mood(Mood::Refusing(status), span).await,
+            Fault::StoreSilent(duration) => self.hold_store_mood(Mood::Silent, duration).await,
+            Fault::StoreRefuses(status, duration) => self.hold_store_mood(Mood::Refusing(status), duration).await,
             Fault::StoreForgets => self.store.compact(),
             Fault::Routes => {
                 let extra = &mut self.version.lock().await.1;
                 *extra = !*extra;
             }
-            Fault::Weather(span) => {
-                self.callers.weather.set(BAD_WEATHER);
-                tokio::time::sleep(span).await;
-                self.callers.weather.set(0);
+            Fault::Weather(duration) => {
+                self.callers.impairment.set_rates(IMPAIRED_PER_MILLE);
+                tokio::time::sleep(duration).await;
+                self.callers.impairment.set_rates(0);
             }
             Fault::TargetDies(..)
             | Fault::TargetDrains(..)
             | Fault::TargetSlow(..)
             | Fault::EntryBroken(_)
-            | Fault::Evacuate(..) => self.act_on_targets(fault).await,
+            | Fault::Evacuate(..) => self.inject_target_fault(fault).await,
         }
         if fault == Fault::Routes {
-            self.configure().await;
+            self.publish_configuration().await;
         }
     }
 
-    async fn act_on_targets(&self, fault: Fault) {
+    async fn inject_target_fault(&self, fault: Fault) {
         match fault {
-            Fault::TargetDies(index, span) => {
+            Fault::TargetDies(index, duration) => {
                 let target = &self.targets[index];
-                target.die();
-                tokio::time::sleep(LAPSE.min(span + HEARTBEAT)).await;
+                target.crash();
+                tokio::time::sleep(ENTRY_EXPIRY.min(duration + HEARTBEAT)).await;
                 self.store.remove(&target.key());
-                tokio::time::sleep(span).await;
-                target.restart(COLD);
+                tokio::time::sleep(duration).await;
+                target.restart(COLD_TIME);
                 target.register(&self.store);
             }
-            Fault::TargetDrains(index, span) => {
-                self.targets[index].drain(true);
+            Fault::TargetDrains(index, duration) => {
+                self.targets[index].set_draining(true);
                 self.targets[index].register(&self.store);
-                tokio::time::sleep(span).await;
-                self.targets[index].drain(false);
+                tokio::time::sleep(duration).await;
+                self.targets[index].set_draining(false);
                 self.targets[index].register(&self.store);
             }
-            Fault::TargetSlow(index, span) => {
-                self.targets[index].slow(6);
-                tokio::time::sleep(span).await;
-                self.targets[index].slow(1);
+            Fault::TargetSlow(index, duration) => {
+                self.targets[index].set_slowdown(6);
+                tokio::time::sleep(duration).await;
+                self.targets[index].set_slowdown(1);
             }
             Fault::EntryBroken(index) => {
                 self.store.put_bytes(&self.targets[index].key(), b"{\"service\":7}");
             }
-            Fault::Evacuate(index, span) => {
+            Fault::Evacuate(index, duration) => {
                 let key = format!("op/evacuate/{}", domain(index));
-                let inside = || self.targets.iter().filter(|target| target.domain == domain(index));
+                let domain_targets = || self.targets.iter().filter(|target| target.domain == domain(index));
                 self.store.put(&key, &json!({}));
-                inside().for_each(|target| target.evacuate(true));
-                tokio::time::sleep(span).await;
-                inside().for_each(|target| target.evacuate(false));
+                domain_targets().for_each(|target| target.set_evacuated(true));
+                tokio::time::sleep(duration).await;
+                domain_targets().for_each(|target| target.set_evacuated(false));
                 self.store.remove(&key);
             }
             _ => {}
         }
     }
 
-    async fn mood(&self, mood: Mood, span: Duration) {
+    /// Sets the behaviour of the store for a time.
+    async fn hold_store_mood(&self, mood: Mood, duration: Duration) {
         self.store.set_mood(mood);
-        tokio::time::sleep(span).await;
+        tokio::time::sleep(duration).await;
         self.store.set_mood(Mood::Well);
     }
 
     async fn restart(&self, index: usize) {
         self.instances[index].lock().await.kill();
-        tokio::time::sleep(RESTART).await;
+        tokio::time::sleep(RESTART_DELAY).await;
         self.start(index).await;
     }
 
     async fn start(&self, index: usize) {
         let mut instance = self.instances[index].lock().await;
         if let Err(error) = instance.start(&self.options.binary) {
-            self.ledger.event(format!("{} cannot be started: {error}", instance.name));
+            self.ledger.record_event(format!("{} cannot be started: {error}", instance.name));
         }
     }
 
-    async fn verdict(&self) -> io::Result<Verdict> {
+    async fn collect_verdict(&self) -> io::Result<Verdict> {
         let end = self.ledger.elapsed().as_secs();
-        // The last two whole seconds, well after the last kill.
+        // The last three whole seconds, which begin after the restart that follows the last kill.
         let recovered = self.ledger.answered_between(end.saturating_sub(3), end);
-        if recovered == 0 || self.options.sabotage == Some(Promise::Recovery) {
-            self.ledger.breach(Promise::Recovery, "nobody was answered in the last seconds");
+        if recovered == 0 || self.options.sabotage == Some(Invariant::Recovery) {
+            self.ledger.record_breach(Invariant::Recovery, "no request was answered in the last seconds of the run");
         }
         for instance in &self.instances {
             let mut instance = instance.lock().await;
             if let Some(status) = instance.ended() {
-                let what = format!("{} ended by itself: {status}", instance.name);
-                self.ledger.breach(Promise::Recovery, what);
+                let detail = format!("{} exited by itself: {status}", instance.name);
+                self.ledger.record_breach(Invariant::Recovery, detail);
             }
         }
         Ok(Verdict { breaches: self.ledger.breaches(), timeline: self.ledger.timeline(), totals: self.ledger.totals() })
     }
 }
 
-/// Returns where a run keeps its logs.
+/// Returns the directory of a run's logs and settings below `base`.
 #[must_use]
 pub fn directory(base: &Path, seed: u64) -> PathBuf {
     base.join(format!("soak-{}-{seed}", std::process::id()))
--- a/crates/soak/src/wire.rs
+++ b/crates/soak/src/wire.rs
@@ -1,6 +1,7 @@
-//! Packets as callers and targets write them.
+//! Encoding of the packets of callers and targets.
 //!
-//! A keyed sum over the head and the data lets each end notice a packet that the other did not write so.
+//! A keyed checksum over the header, without the cookie, and the data lets each end detect a packet that was modified on
+//! the way.
 
 use std::hash::Hasher as _;
 use std::net::Ipv4Addr;
@@ -8,45 +9,46 @@
 
 use hawthornshift_platform::packet::HEAD_BYTES;
 
-/// The flags of a packet.
+/// Flag: closes a flow.
 pub const FIN: u8 = 1;
-/// Opens a flow.
+/// Flag: opens a flow.
 pub const SYN: u8 = 4;
-/// Ends a flow at once.
+/// Flag: resets a flow.
 pub const RST: u8 = 8;
-/// Carries an acknowledgement.
+/// Flag: carries an acknowledgement.
 pub const ACK: u8 = 32;
 
-/// A packet of either end.
+/// A packet of a caller or a target.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Packet {
-    /// Who sends it.
+    /// Address of the sender.
     pub from: SocketAddrV4,
-    /// To whom.
+    /// Address of the receiver.
     pub to: SocketAddrV4,
-    /// What it does.
+    /// Bitwise OR of the flags [`FIN`], [`SYN`], [`RST`] and [`ACK`].
     pub flags: u8,
-    /// Number of its first byte.
+    /// Sequence number of the first data byte.
     pub sequence: u32,
-    /// Number of the byte expected next; on a SYN, the copies sent before.
+    /// Sequence number of the byte expected next; on a caller's SYN, the number of copies sent before.
     pub acknowledged: u32,
-    /// What instances write and both ends repeat.
+    /// Cookie, which instances write and both ends return.
     pub cookie: u32,
-    /// Data.
+    /// Data, in addition to the header.
     pub data: Vec<u8>,
 }
 
-/// Position of a packet's number in its bytes.
-pub const SEQUENCE_AT: usize = 24;
+/// Offset of the sequence number in an encoded packet, in bytes.
+pub const SEQUENCE_OFFSET: usize = 24;
 
 impl Packet {
-    /// Tells whether a flag is set.
+    /// Returns whether any of the flags in `flag` is set.
     #[must_use]
-    pub fn has(&self, flag: u8) -> bool {
+    pub fn has_flag(&self, flag: u8) -> bool {
         self.flags & flag != 0
     }
 
-    fn body(&self) -> Vec<u8> {
+    /// Returns the encoded packet with the checksum and the cookie set to 0, which is what the checksum covers.
+    fn encode_without_checksum(&self) -> Vec<u8> {
         let mut buf = vec![0; 4];
         buf.push(self.flags);
         buf.extend([0; 5]);
@@ -62,24 +64,25 @@
         buf
     }
 
-    /// Returns the packet's bytes.
+    /// Returns the encoded packet.
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
-        let mut buf = self.body();
-        let sum = sum(&buf);
-        buf[..4].copy_from_slice(&sum.to_le_bytes());
+        let mut buf = self.encode_without_checksum();
+        let checksum = checksum(&buf);
+        buf[..4].copy_from_slice(&checksum.to_le_bytes());
         buf[32..36].copy_from_slice(&self.cookie.to_le_bytes());
         buf
     }
 
-    /// Reads a packet; the second value tells whether its sender wrote it so.
+    /// Decodes a packet; the second value is whether its checksum is correct. Returns `None` if the header is incomplete.
     #[must_use]
     pub fn decode(buf: &[u8]) -> Option<(Self, bool)> {
         if buf.len() < HEAD_BYTES {
             return None;
         }
-        let u16_at = |at: usize| u16::from_le_bytes([buf[at], buf[at + 1]]);
-        let u32_at = |at: usize| u32::from_le_bytes([buf[at], buf[at + 1], buf[at + 2], buf[at + 3]]);
+        let u16_at = |offset: usize| u16::from_le_bytes([buf[offset], buf[offset + 1]]);
+        let u32_at =
+            |offset: usize| u32::from_le_bytes([buf[offset], buf[offset + 1], buf[offset + 2], buf[offset + 3]]);
         let packet = Self {
             from: SocketAddrV4::new(Ipv4Addr::from(u32_at(12)), u16_at(20)),
             to: SocketAddrV4::new(Ipv4Addr::from(u32_at(16)), u16_at(10)),
@@ -89,17 +92,20 @@
             cookie: u32_at(32),
             data: buf[HEAD_BYTES..].to_vec(),
         };
-        let genuine = u32_at(0) == sum(&packet.body());
-        Some((packet, genuine))
+        let intact = u32_at(0) == checksum(&packet.encode_without_checksum());
+        Some((packet, intact))
     }
 }
 
-/// Key of the sum; instances do not know it.
-const KEY: u64 = 0x5EED_0F50;
+/// Key of the checksum; instances do not have it.
+const CHECKSUM_KEY: u64 = 0x5EED_0F50;
 
-fn sum(body: &[u8]) -> u32 {
-    #[expect(deprecated, reason = "the same in every build, which the standard library promises of no other hasher")]
-    let mut hasher = std::hash::SipHasher::new_with_keys(KEY, 0);
+fn checksum(body: &[u8]) -> u32 {
+    #[expect(
+        deprecated,
+        reason = "its result is the same in every build, which the standard library guarantees for no other hasher"
+    )]
+    let mut hasher = std::hash::SipHasher::new_with_keys(CHECKSUM_KEY, 0);
     hasher.write(&body[4..]);
     u32::try_from(hasher.finish() >> 32).unwrap_or(u32::MAX)
 }
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,7 +1,7 @@
-//! Small stand-ins for the platform and for targets, for tests and the demo only.
+//! Test doubles of the platform, the key-value store and targets, for tests and the demo only.
 //!
-//! They speak the published interfaces over real sockets, and count what happens to them independently of any
-//! instance, so that a report can be reconciled from both sides.
+//! They implement the published interfaces over real sockets. They keep counts of their own, independent of any
+//! instance, so that a report can be reconciled with what instances count.
 
 pub mod platform;
 pub mod store;
--- a/crates/standins/src/platform.rs
+++ b/crates/standins/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's configuration service: a set and a list of instances that can be read and watched.
+//! The platform's configuration service: serves a published set and a list of instances by read and long poll.
 
 use std::collections::HashMap;
 use std::convert::Infallible;
@@ -25,7 +25,7 @@
 use tokio::sync::Notify;
 use tokio_util::sync::CancellationToken;
 
-/// One value with its version.
+/// A published value and its version.
 #[derive(Clone, Debug, Default)]
 struct VersionedEntry {
     version: u64,
@@ -36,11 +36,11 @@
 struct State {
     values: Mutex<HashMap<String, VersionedEntry>>,
     changed: Notify,
-    down: AtomicBool,
+    unavailable: AtomicBool,
     reads: AtomicU64,
 }
 
-/// A running platform.
+/// A running platform service; clones share its state.
 #[derive(Clone, Debug)]
 pub struct Platform {
     address: SocketAddr,
@@ -48,46 +48,46 @@
 }
 
 impl Platform {
-    /// Starts a platform that has nothing published.
+    /// Starts a platform without published values; it serves until `stop` is cancelled.
     ///
     /// # Errors
     ///
-    /// Fails when the address cannot be listened on.
+    /// Returns the error of the listener if `address` cannot be bound.
     pub async fn start(address: SocketAddr, stop: CancellationToken) -> io::Result<Self> {
         let listener = TcpListener::bind(address).await?;
         let state = Arc::new(State::default());
         let platform = Self { address: listener.local_addr()?, state: Arc::clone(&state) };
-        tokio::spawn(accept(listener, state, stop));
+        tokio::spawn(accept_connections(listener, state, stop));
         Ok(platform)
     }
 
-    /// Returns where the platform answers.
+    /// Returns the address that the platform listens on.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Publishes a value under `resource`, which is `set` or `instances`.
+    /// Publishes a value under `resource`, which is `set` or `instances`, and wakes waiting reads.
     pub fn publish(&self, resource: &str, version: u64, text: String) {
         let mut values = self.state.values.lock().unwrap_or_else(PoisonError::into_inner);
         values.insert(resource.to_owned(), VersionedEntry { version, text });
         self.state.changed.notify_waiters();
     }
 
-    /// Takes the platform down, or up again.
-    pub fn set_down(&self, down: bool) {
-        self.state.down.store(down, Ordering::Relaxed);
+    /// Sets whether the platform answers every request with status 503.
+    pub fn set_down(&self, unavailable: bool) {
+        self.state.unavailable.store(unavailable, Ordering::Relaxed);
         self.state.changed.notify_waiters();
     }
 
-    /// Returns the calls so far.
+    /// Returns the number of requests received so far, refused ones included.
     #[must_use]
     pub fn reads(&self) -> u64 {
         self.state.reads.load(Ordering::Relaxed)
     }
 }
 
-async fn accept(listener: TcpListener, state: Arc<State>, stop: CancellationToken) {
+async fn accept_connections(listener: TcpListener, state: Arc<State>, stop: CancellationToken) {
     loop {
         let accepted = tokio::select! {
             () = stop.cancelled() => return,
@@ -97,7 +97,7 @@
         let state = Arc::clone(&state);
         let service = service_fn(move |request| {
             let state = Arc::clone(&state);
-            async move { Ok::<_, Infallible>(answer(&state, request).await) }
+            async move { Ok::<_, Infallible>(handle_request(&state, request).await) }
         });
         tokio::spawn(async move {
             let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
@@ -105,16 +105,16 @@
     }
 }
 
-async fn answer(state: &State, request: Request<Incoming>) -> Response<Full<Bytes>> {
+async fn handle_request(state: &State, request: Request<Incoming>) -> Response<Full<Bytes>> {
     state.reads.fetch_add(1, Ordering::Relaxed);
     let resource = request.uri().path().trim_start_matches("/v1/").to_owned();
     let query = request.uri().query().unwrap_or_default();
-    let after = parameter(query, "after");
-    let wait = Duration::from_millis(parameter(query, "wait_ms"));
+    let after = query_number(query, "after");
+    let wait = Duration::from_millis(query_number(query, "wait_ms"));
     let newer = tokio::time::timeout(wait, wait_for_newer(state, &resource, after)).await;
-    // A plain read, with no wait, looks once.
-    let value = newer.ok().or_else(|| look(state, &resource, after));
-    if state.down.load(Ordering::Relaxed) {
+    // A read without `wait_ms` checks the value once.
+    let value = newer.ok().or_else(|| newer_value(state, &resource, after));
+    if state.unavailable.load(Ordering::Relaxed) {
         return respond(StatusCode::SERVICE_UNAVAILABLE, String::new());
     }
     match value {
@@ -126,19 +126,19 @@
 async fn wait_for_newer(state: &State, resource: &str, after: u64) -> VersionedEntry {
     loop {
         let changed = state.changed.notified();
-        if let Some(value) = look(state, resource, after) {
+        if let Some(value) = newer_value(state, resource, after) {
             return value;
         }
         changed.await;
     }
 }
 
-fn look(state: &State, resource: &str, after: u64) -> Option<VersionedEntry> {
+fn newer_value(state: &State, resource: &str, after: u64) -> Option<VersionedEntry> {
     let values = state.values.lock().unwrap_or_else(PoisonError::into_inner);
     values.get(resource).filter(|value| value.version != after).cloned()
 }
 
-fn parameter(query: &str, name: &str) -> u64 {
+fn query_number(query: &str, name: &str) -> u64 {
     let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     pairs.filter(|(key, _)| *key == name).find_map(|(_, value)| value.parse().ok()).unwrap_or(0)
 }
--- a/crates/standins/src/store.rs
+++ b/crates/standins/src/store.rs
@@ -1,4 +1,4 @@
-//! A small key-value store with ranges and watches, as the direct path reads it.
+//! An in-memory key-value store with paged range reads and long-poll watches, as the direct path reads it.
 
 use std::collections::BTreeMap;
 use std::convert::Infallible;
@@ -27,20 +27,21 @@
 use tokio::sync::Notify;
 use tokio_util::sync::CancellationToken;
 
-/// How the store treats its callers.
+/// How the store responds to requests.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Mood {
-    /// It answers.
+    /// Serves requests.
     #[default]
     Well,
-    /// It answers every call with this status.
+    /// Answers every request with this HTTP status.
     Refusing(u16),
-    /// It takes calls and never answers them.
+    /// Accepts requests and never answers them.
     Silent,
 }
 
 #[derive(Debug)]
 struct Entry {
+    /// `None` for a removed key, whose tombstone stays until the history is compacted.
     value: Option<Vec<u8>>,
     revision: u64,
 }
@@ -49,14 +50,15 @@
 struct State {
     entries: BTreeMap<String, Entry>,
     revision: u64,
-    /// Revision up to which the history is gone.
-    compacted: u64,
-    page: usize,
+    /// Revision up to which the history is compacted; a watch from an older revision gets status 410.
+    compacted_revision: u64,
+    /// Items in one page of a range read.
+    page_size: usize,
     mood: Mood,
     calls: u64,
 }
 
-/// A running store.
+/// A running store; clones share its state.
 #[derive(Clone, Debug)]
 pub struct Store {
     address: SocketAddr,
@@ -65,25 +67,31 @@
 }
 
 impl Store {
-    /// Starts an empty store.
+    /// Starts an empty store; it serves until `stop` is cancelled.
     ///
     /// # Errors
     ///
-    /// Fails when the address cannot be listened on.
+    /// Returns the error of the listener if `address` cannot be bound.
     pub async fn start(address: SocketAddr, stop: CancellationToken) -> io::Result<Self> {
         let listener = TcpListener::bind(address).await?;
-        let state =
-            State { entries: BTreeMap::new(), revision: 1, compacted: 0, page: 500, mood: Mood::Well, calls: 0 };
+        let state = State {
+            entries: BTreeMap::new(),
+            revision: 1,
+            compacted_revision: 0,
+            page_size: 500,
+            mood: Mood::Well,
+            calls: 0,
+        };
         let store = Self {
             address: listener.local_addr()?,
             state: Arc::new(Mutex::new(state)),
             changed: Arc::new(Notify::new()),
         };
-        tokio::spawn(accept(listener, store.clone(), stop));
+        tokio::spawn(accept_connections(listener, store.clone(), stop));
         Ok(store)
     }
 
-    /// Returns where it listens.
+    /// Returns the address that the store listens on.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
@@ -102,46 +110,46 @@
         self.changed.notify_waiters();
     }
 
-    /// Writes a value.
+    /// Writes a JSON value at the next revision.
     pub fn put(&self, key: &str, value: &Value) {
         self.write(key, Some(value.to_string().into_bytes()));
     }
 
-    /// Writes bytes that need not be anything.
+    /// Writes raw bytes, which need not be valid JSON or UTF-8.
     pub fn put_bytes(&self, key: &str, value: &[u8]) {
         self.write(key, Some(value.to_vec()));
     }
 
-    /// Removes a key.
+    /// Removes a key and leaves a tombstone at the next revision.
     pub fn remove(&self, key: &str) {
         self.write(key, None);
     }
 
-    /// Drops the history: watches from before get 410.
+    /// Compacts the history: drops tombstones, and watches from an older revision get status 410.
     pub fn compact(&self) {
         let mut state = self.state();
-        state.compacted = state.revision;
+        state.compacted_revision = state.revision;
         state.entries.retain(|_, entry| entry.value.is_some());
     }
 
-    /// Sets how many items a page holds.
+    /// Sets the number of items in a page of a range read.
     pub fn set_page(&self, items: usize) {
-        self.state().page = items;
+        self.state().page_size = items;
     }
 
-    /// Sets how callers are treated.
+    /// Sets how requests are answered from now on; a request that is being processed keeps the former behaviour.
     pub fn set_mood(&self, mood: Mood) {
         self.state().mood = mood;
         self.changed.notify_waiters();
     }
 
-    /// Returns how many calls came.
+    /// Returns the number of requests received so far, in every mood.
     #[must_use]
     pub fn calls(&self) -> u64 {
         self.state().calls
     }
 
-    async fn answer(&self, req: &Request<Incoming>) -> Response<Full<Bytes>> {
+    async fn handle_request(&self, req: &Request<Incoming>) -> Response<Full<Bytes>> {
         let mood = {
             let mut state = self.state();
             state.calls += 1;
@@ -152,7 +160,7 @@
             Mood::Refusing(status) => return respond(status, &json!({})),
             Mood::Silent => std::future::pending().await,
         }
-        let query = query(req.uri().query().unwrap_or_default());
+        let query = parse_query(req.uri().query().unwrap_or_default());
         match req.uri().path() {
             "/api/kv-range" => self.range(&query),
             "/api/kv-watch" => self.watch(&query).await,
@@ -162,23 +170,23 @@
 
     fn range(&self, query: &BTreeMap<String, String>) -> Response<Full<Bytes>> {
         let state = self.state();
-        let (prefix, after) = (text(query, "prefix"), text(query, "after"));
-        let fits = |key: &str| key.starts_with(prefix) && (after.is_empty() || key > after);
-        let mut items = state.entries.iter().filter(|(key, entry)| entry.value.is_some() && fits(key));
-        let page: Vec<Value> = items.by_ref().take(state.page).map(|(key, entry)| item(key, entry)).collect();
+        let (prefix, after) = (parameter(query, "prefix"), parameter(query, "after"));
+        let matches_query = |key: &str| key.starts_with(prefix) && (after.is_empty() || key > after);
+        let mut items = state.entries.iter().filter(|(key, entry)| entry.value.is_some() && matches_query(key));
+        let page: Vec<Value> = items.by_ref().take(state.page_size).map(|(key, entry)| item(key, entry)).collect();
         let more = items.next().is_some();
         respond(200, &json!({ "items": page, "has-more": more, "store-revision": state.revision }))
     }
 
     async fn watch(&self, query: &BTreeMap<String, String>) -> Response<Full<Bytes>> {
-        let after: u64 = text(query, "after").parse().unwrap_or(0);
-        let wait: u64 = text(query, "wait-ms").parse().unwrap_or(0);
+        let after: u64 = parameter(query, "after").parse().unwrap_or(0);
+        let wait: u64 = parameter(query, "wait-ms").parse().unwrap_or(0);
         let end = tokio::time::Instant::now() + Duration::from_millis(wait);
         loop {
             let changed = self.changed.notified();
             {
                 let state = self.state();
-                if after < state.compacted {
+                if after < state.compacted_revision {
                     return respond(410, &json!({}));
                 }
                 let mut newer: Vec<_> = state.entries.iter().filter(|(_, entry)| entry.revision > after).collect();
@@ -188,7 +196,7 @@
                     return respond(200, &json!({ "events": events, "store-revision": state.revision }));
                 }
             }
-            // Neither way out says more than that it is time to look again.
+            // A change and the end of the wait are handled alike: the loop checks for newer entries again.
             let _ = tokio::time::timeout_at(end, changed).await;
         }
     }
@@ -201,11 +209,11 @@
     }
 }
 
-fn text<'a>(query: &'a BTreeMap<String, String>, name: &str) -> &'a str {
+fn parameter<'a>(query: &'a BTreeMap<String, String>, name: &str) -> &'a str {
     query.get(name).map(String::as_str).unwrap_or_default()
 }
 
-fn query(text: &str) -> BTreeMap<String, String> {
+fn parse_query(text: &str) -> BTreeMap<String, String> {
     let pairs = text.split('&').filter_map(|pair| pair.split_once('='));
     pairs.map(|(name, value)| (name.to_owned(), value.to_owned())).collect()
 }
@@ -216,7 +224,7 @@
     response
 }
 
-async fn accept(listener: TcpListener, store: Store, stop: CancellationToken) {
+async fn accept_connections(listener: TcpListener, store: Store, stop: CancellationToken) {
     loop {
         let accepted = tokio::select! {
             () = stop.cancelled() => return,
@@ -227,9 +235,9 @@
         tokio::spawn(async move {
             let service = service_fn(move |req: Request<Incoming>| {
                 let store = store.clone();
-                async move { Ok::<_, Infallible>(store.answer(&req).await) }
+                async move { Ok::<_, Infallible>(store.handle_request(&req).await) }
             });
-            // Whatever ends a connection, its caller sees it.
+            // The error of a connection is ignored here, since its client sees it too.
             tokio::select! {
                 () = stop.cancelled() => {}
                 _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service) => {}
--- a/crates/standins/src/target.rs
+++ b/crates/standins/src/target.rs
@@ -1,4 +1,4 @@
-//! Targets: an HTTP service with slots and a cold start, a datagram echo and a stream echo.
+//! Targets: an HTTP service with a concurrency limit and a cold phase, a UDP echo and a TCP line echo.
 
 use std::collections::HashMap;
 use std::convert::Infallible;
@@ -30,40 +30,40 @@
 use tokio::net::UdpSocket;
 use tokio_util::sync::CancellationToken;
 
-/// Names the order that a request makes; each order may run once.
+/// Request header with the id of an order; each order may run at most once.
 pub const ORDER_HEADER: &str = "x-order";
-/// Requests that a cold target must have answered before it is warm.
-const ANSWERS_TO_WARM: u32 = 10;
-/// How much slower a cold target answers.
-const COLD_FACTOR: u32 = 4;
-/// Time after which a failure domain that was taken out must be silent.
-const OUT_GRACE: Duration = Duration::from_secs(3);
+/// Number of requests that a cold target answers before it is warm.
+const WARM_UP_ANSWERS: u32 = 10;
+/// Factor by which a cold target's service time is longer.
+const COLD_SERVICE_TIME_FACTOR: u32 = 4;
+/// Time after the evacuation of a failure domain from which on its targets may receive nothing.
+const EVACUATION_GRACE: Duration = Duration::from_secs(3);
 
-/// What a target speaks.
+/// Protocol of a target.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum TargetKind {
-    /// HTTP, with slots.
+    /// HTTP, with a limited number of concurrent requests (slots).
     Http,
-    /// UDP packets, echoed with the target's name.
+    /// UDP packets, echoed with the target's name appended.
     Datagram,
-    /// Lines over TCP, echoed with the target's name.
+    /// Lines over TCP, echoed with the target's name appended.
     Stream,
 }
 
-/// What has happened to a target, by its own count.
+/// Counters that a target keeps itself.
 #[derive(Clone, Debug, Default)]
 pub struct Counts {
-    /// How often each order ran.
+    /// Number of runs of each order.
     pub runs: HashMap<String, u32>,
-    /// Requests beyond what the target bears while cold.
+    /// Requests refused because a cold target, which takes one at a time, was busy.
     pub cold_overloads: u64,
-    /// Requests beyond its slots while warm.
+    /// Requests refused because all slots of a warm target were in use.
     pub slot_overruns: u64,
-    /// Packets, lines and requests that were meant for another service.
+    /// Packets, lines and requests addressed to another service.
     pub wrong_service: u64,
-    /// Packets, lines and requests that came although its failure domain was out for longer than allowed.
+    /// Packets, lines and requests that arrived more than 3 s after the evacuation of its failure domain.
     pub late_after_out: u64,
-    /// All packets, lines and requests.
+    /// All packets, lines and requests that arrived.
     pub arrived: u64,
 }
 
@@ -74,16 +74,16 @@
     answered: u32,
     cold: bool,
     leaving: bool,
-    out_since: Option<Instant>,
+    domain_out_since: Option<Instant>,
 }
 
-/// A running target.
+/// A running target; clones share its state.
 #[derive(Clone, Debug)]
 pub struct Target {
     name: String,
     service: String,
     slots: u32,
-    work: Duration,
+    service_time: Duration,
     address: SocketAddr,
     health: SocketAddr,
     inner: Arc<Mutex<Inner>>,
@@ -91,25 +91,27 @@
 }
 
 impl Target {
-    /// Starts a cold target on ports chosen by the system; each request takes it `work` when it is warm.
+    /// Starts a target on ports chosen by the operating system; an HTTP target starts cold.
+    ///
+    /// An HTTP target processes up to `slots` requests at a time when warm, each for `service_time`.
     ///
     /// # Errors
     ///
-    /// Fails when it cannot listen on `ip`.
+    /// Returns the error of the socket if a port of `ip` cannot be bound.
     pub async fn start(
         kind: TargetKind,
         name: &str,
         service: &str,
         ip: IpAddr,
         slots: u32,
-        work: Duration,
+        service_time: Duration,
     ) -> io::Result<Self> {
         let health = TcpListener::bind(SocketAddr::new(ip, 0)).await?;
         let mut target = Self {
             name: name.to_owned(),
             service: service.to_owned(),
             slots,
-            work,
+            service_time,
             address: health.local_addr()?,
             health: health.local_addr()?,
             inner: Arc::new(Mutex::new(Inner {
@@ -118,7 +120,7 @@
                 answered: 0,
                 cold: kind == TargetKind::Http,
                 leaving: false,
-                out_since: None,
+                domain_out_since: None,
             })),
             stop: CancellationToken::new(),
         };
@@ -153,59 +155,59 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns its name.
+    /// Returns the target's name.
     #[must_use]
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// Returns where it serves.
+    /// Returns the address that the target serves on.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Returns where it answers health checks.
+    /// Returns the address that answers health checks.
     #[must_use]
     pub fn health(&self) -> SocketAddr {
         self.health
     }
 
-    /// Returns what has happened to it.
+    /// Returns a copy of the target's counters.
     #[must_use]
     pub fn counts(&self) -> Counts {
         self.lock().counts.clone()
     }
 
-    /// Makes it cold again.
+    /// Makes the target cold again.
     pub fn chill(&self) {
         let mut inner = self.lock();
         inner.cold = true;
         inner.answered = 0;
     }
 
-    /// Has its health endpoint say that it is leaving.
+    /// Makes the health endpoint report the state `leaving`.
     pub fn leave(&self) {
         self.lock().leaving = true;
     }
 
-    /// Notes that its failure domain was taken out, or is back.
+    /// Records whether the target's failure domain is out of service from now on.
     pub fn set_out(&self, out: bool) {
-        self.lock().out_since = out.then(Instant::now);
+        self.lock().domain_out_since = out.then(Instant::now);
     }
 
-    /// Ends it at once.
+    /// Stops the target immediately and drops its connections.
     pub fn kill(&self) {
         self.stop.cancel();
     }
 
-    fn note_arrival(&self, service: &str) {
+    fn record_arrival(&self, service: &str) {
         let mut inner = self.lock();
         inner.counts.arrived += 1;
         if service != self.service {
             inner.counts.wrong_service += 1;
         }
-        if inner.out_since.is_some_and(|since| since.elapsed() > OUT_GRACE) {
+        if inner.domain_out_since.is_some_and(|since| since.elapsed() > EVACUATION_GRACE) {
             inner.counts.late_after_out += 1;
         }
     }
@@ -216,7 +218,7 @@
         loop {
             let Ok((len, from)) = socket.recv_from(&mut buf).await else { continue };
             let text = String::from_utf8_lossy(&buf[..len]).into_owned();
-            self.note_arrival(text.split(' ').next().unwrap_or_default());
+            self.record_arrival(text.split(' ').next().unwrap_or_default());
             let _ = socket.send_to(format!("{text} {}", self.name).as_bytes(), from).await;
         }
     }
@@ -233,7 +235,7 @@
         let (reader, mut writer) = stream.split();
         let mut lines = BufReader::new(reader).lines();
         while let Ok(Some(line)) = lines.next_line().await {
-            self.note_arrival(line.split(' ').next().unwrap_or_default());
+            self.record_arrival(line.split(' ').next().unwrap_or_default());
             if writer.write_all(format!("{line} {}\n", self.name).as_bytes()).await.is_err() {
                 return;
             }
@@ -246,7 +248,7 @@
             let target = self.clone();
             let service = service_fn(move |request| {
                 let target = target.clone();
-                async move { Ok::<_, Infallible>(target.answer(request).await) }
+                async move { Ok::<_, Infallible>(target.handle_request(request).await) }
             });
             self.spawn(async move {
                 let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
@@ -254,17 +256,17 @@
         }
     }
 
-    async fn answer(&self, request: Request<Incoming>) -> Response<Full<Bytes>> {
+    async fn handle_request(&self, request: Request<Incoming>) -> Response<Full<Bytes>> {
         if request.uri().path() == "/health" {
-            return respond(StatusCode::OK, self.health_text());
+            return respond(StatusCode::OK, self.health_body());
         }
         let order = request.headers().get(ORDER_HEADER).and_then(|value| value.to_str().ok()).map(str::to_owned);
         let service = request.uri().path().trim_matches('/').to_owned();
-        self.note_arrival(&service);
+        self.record_arrival(&service);
         let Ok(body) = request.into_body().collect().await else {
             return respond(StatusCode::BAD_REQUEST, String::new());
         };
-        let Some(running) = self.start_work() else {
+        let Some(slot) = self.acquire_slot() else {
             let mut refusal = respond(StatusCode::SERVICE_UNAVAILABLE, "shed".to_owned());
             refusal.headers_mut().insert("hawthornshift-verdict", hyper::header::HeaderValue::from_static("not-run"));
             return refusal;
@@ -272,12 +274,12 @@
         if let Some(order) = &order {
             *self.lock().counts.runs.entry(order.clone()).or_default() += 1;
         }
-        tokio::time::sleep(running.work).await;
-        running.finish();
+        tokio::time::sleep(slot.service_time).await;
+        slot.record_answer();
         respond(StatusCode::OK, format!("{} {} {}", self.name, order.unwrap_or_default(), body.to_bytes().len()))
     }
 
-    fn health_text(&self) -> String {
+    fn health_body(&self) -> String {
         let inner = self.lock();
         let state = match (inner.leaving, inner.cold) {
             (true, _) => "leaving",
@@ -287,8 +289,8 @@
         format!("{{\"state\":\"{state}\",\"running\":{}}}", inner.running)
     }
 
-    /// Takes a slot, or sheds when there is none.
-    fn start_work(&self) -> Option<Running<'_>> {
+    /// Acquires a slot, or counts a refusal and returns `None` when all are in use; a cold target has one slot.
+    fn acquire_slot(&self) -> Option<SlotGuard<'_>> {
         let mut inner = self.lock();
         let limit = if inner.cold { 1 } else { self.slots };
         if inner.running >= limit {
@@ -300,26 +302,26 @@
             return None;
         }
         inner.running += 1;
-        let work = if inner.cold { self.work * COLD_FACTOR } else { self.work };
-        Some(Running { target: self, work })
+        let service_time = if inner.cold { self.service_time * COLD_SERVICE_TIME_FACTOR } else { self.service_time };
+        Some(SlotGuard { target: self, service_time })
     }
 }
 
-/// A slot in use; it is free again when this is dropped, also when the caller hangs up.
-struct Running<'a> {
+/// A slot in use; dropping it releases the slot, also when the caller closes the connection early.
+struct SlotGuard<'a> {
     target: &'a Target,
-    work: Duration,
+    service_time: Duration,
 }
 
-impl Running<'_> {
-    fn finish(&self) {
+impl SlotGuard<'_> {
+    fn record_answer(&self) {
         let mut inner = self.target.lock();
         inner.answered += 1;
-        inner.cold &= inner.answered < ANSWERS_TO_WARM;
+        inner.cold &= inner.answered < WARM_UP_ANSWERS;
     }
 }
 
-impl Drop for Running<'_> {
+impl Drop for SlotGuard<'_> {
     fn drop(&mut self) {
         self.target.lock().running -= 1;
     }
--- a/tests/processes.rs
+++ b/tests/processes.rs
@@ -1,4 +1,4 @@
-//! Instances as separate processes: the path from start to finish, failures, and bad input.
+//! Instances as separate processes: a request from start to finish, failures, and malformed input.
 
 mod support;
 
@@ -10,23 +10,23 @@
 use std::time::Duration;
 
 use support::INSTANCE;
-use support::World;
+use support::TestSystem;
 use support::header;
 use support::wait_for;
 use tokio::time::sleep;
 
 use hawthornshift_adapters::http_client::Call;
 
-/// Sends an order until its end is known, each try through another instance; returns whether it was answered.
-async fn settle(world: &World, order: &str) -> bool {
+/// Sends an order up to 20 times, each time through the next instance, until it is answered; returns whether it was.
+async fn send_until_decided(system: &TestSystem, order: &str) -> bool {
     let mut ticket: Option<String> = None;
-    let ids: Vec<u32> = world.processes.keys().rev().copied().collect();
+    let ids: Vec<u32> = system.processes.keys().rev().copied().collect();
     for id in ids.iter().cycle().take(20) {
-        let Ok(response) = world.post(*id, order, ticket.as_deref()).await else { continue };
+        let Ok(response) = system.post(*id, order, ticket.as_deref()).await else { continue };
         match header(&response, "hawthornshift-verdict").as_deref() {
             Some("answered") => return true,
             Some("not-run") => {
-                assert_eq!(world.runs(order), 0, "{order} was refused as not run but ran");
+                assert_eq!(system.runs(order), 0, "{order} ran although its verdict was not-run");
                 ticket = header(&response, "hawthornshift-ticket").or(ticket);
             }
             _ => {}
@@ -36,106 +36,108 @@
     false
 }
 
-/// A caller's first order comes without a ticket. It is told to take one, and its second try runs; a third with the
-/// same ticket through another instance gets the same answer without a second run.
+/// Guards against an order that runs without a ticket or runs again on a retry. A request without a ticket is refused with
+/// a new one; the retry with it runs, and further retries through other instances return the stored answer.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_order_is_served_from_start_to_finish() {
-    let mut world = World::new(1).await;
+async fn an_order_without_a_ticket_is_refused_and_runs_once_with_one() {
+    let mut system = TestSystem::new(1).await;
     for id in 0..4 {
-        world.start(id);
+        system.start(id);
     }
-    world.converge().await;
-    let refused = world.post(0, "a", None).await.unwrap();
+    system.converge().await;
+    let refused = system.post(0, "a", None).await.unwrap();
     assert_eq!(refused.status, 428);
     assert_eq!(header(&refused, "hawthornshift-verdict").as_deref(), Some("not-run"));
-    assert_eq!(world.runs("a"), 0);
+    assert_eq!(system.runs("a"), 0);
     let ticket = header(&refused, "hawthornshift-ticket").unwrap();
     let mut answers = Vec::new();
     for id in [1, 2, 3, 0] {
-        let answer = world.post(id, "a", Some(&ticket)).await.unwrap();
+        let answer = system.post(id, "a", Some(&ticket)).await.unwrap();
         assert_eq!(answer.status, 200);
         answers.push(answer.body);
     }
     assert!(answers.windows(2).all(|pair| pair[0] == pair[1]));
-    assert_eq!(world.runs("a"), 1);
+    assert_eq!(system.runs("a"), 1);
 }
 
-/// An instance is killed, another is frozen for longer than its lease, the platform goes down, a third is restarted
-/// under its old address, and one stops as planned, all while orders come in. A caller may be left not knowing, but
-/// no order runs twice, and the fleet serves again when it is left alone.
+/// Guards against an order that runs twice when instances fail. One instance is killed, another is paused for longer than
+/// its lease, the platform becomes unavailable, the killed one is restarted under its old address, and one stops
+/// gracefully, all while orders are sent. An order's outcome may stay unknown to its caller, but no order runs twice, and
+/// all orders are answered once the faults are over.
 #[tokio::test(flavor = "multi_thread")]
-async fn orders_run_once_while_processes_die_freeze_and_return() {
-    let mut world = World::new(2).await;
+async fn orders_run_at_most_once_while_processes_crash_pause_and_restart() {
+    let mut system = TestSystem::new(2).await;
     for id in 0..5 {
-        world.start(id);
+        system.start(id);
     }
-    world.converge().await;
+    system.converge().await;
     let mut number = 0;
-    let mut batch = async |world: &World, label: &str| {
+    let mut batch = async |system: &TestSystem, label: &str| {
         let orders: Vec<String> = (0..20).map(|index| format!("{label}-{index}")).collect();
         number += orders.len();
         for order in &orders {
-            settle(world, order).await;
+            send_until_decided(system, order).await;
         }
         orders
     };
-    let mut orders = batch(&world, "calm").await;
-
-    world.processes[&0].signal("KILL");
-    orders.extend(batch(&world, "killed").await);
-    world.processes.remove(&0);
-    world.list();
-
-    // Callers meet the frozen one last, but owners and keepers meet it at random.
-    world.processes[&1].signal("STOP");
-    orders.extend(batch(&world, "frozen").await);
-    world.processes[&1].signal("CONT");
-    orders.extend(batch(&world, "thawed").await);
-
-    world.platform.set_down(true);
-    world.start_with(0, &["--peers".to_owned(), world.processes[&2].control.to_string()]);
-    orders.extend(batch(&world, "platform-down").await);
-    world.converge().await;
-    world.platform.set_down(false);
-
-    world.processes[&2].signal("TERM");
-    orders.extend(batch(&world, "stopping").await);
-    let stopped = world.processes.get_mut(&2).unwrap().child.wait().unwrap();
-    assert_eq!(stopped.code(), Some(0), "a planned stop ends with success");
-    world.processes.remove(&2);
-    world.list();
-    world.converge().await;
-
-    let last = batch(&world, "after").await;
+    let mut orders = batch(&system, "calm").await;
+
+    system.processes[&0].signal("KILL");
+    orders.extend(batch(&system, "killed").await);
+    system.processes.remove(&0);
+    system.publish_instance_list();
+
+    // Callers try the paused instance last or nearly so, but it may be the owner or the coordinator of any order.
+    system.processes[&1].signal("STOP");
+    orders.extend(batch(&system, "frozen").await);
+    system.processes[&1].signal("CONT");
+    orders.extend(batch(&system, "thawed").await);
+
+    system.platform.set_down(true);
+    system.start_with(0, &["--peers".to_owned(), system.processes[&2].control.to_string()]);
+    orders.extend(batch(&system, "platform-down").await);
+    system.converge().await;
+    system.platform.set_down(false);
+
+    system.processes[&2].signal("TERM");
+    orders.extend(batch(&system, "stopping").await);
+    let stopped = system.processes.get_mut(&2).unwrap().child.wait().unwrap();
+    assert_eq!(stopped.code(), Some(0), "a graceful stop exits with code 0");
+    system.processes.remove(&2);
+    system.publish_instance_list();
+    system.converge().await;
+
+    let last = batch(&system, "after").await;
     for order in &last {
-        assert_eq!(world.runs(order), 1, "{order}");
+        assert_eq!(system.runs(order), 1, "{order}");
     }
     for order in orders.iter().chain(&last) {
-        assert!(world.runs(order) <= 1, "{order} ran {} times", world.runs(order));
+        assert!(system.runs(order) <= 1, "{order} ran {} times", system.runs(order));
     }
-    for target in &world.targets {
+    for target in &system.targets {
         assert_eq!(target.counts().wrong_service, 0);
     }
-    for id in world.processes.keys() {
-        let dump = world.dump(*id).await.unwrap();
+    for id in system.processes.keys() {
+        let dump = system.dump(*id).await.unwrap();
         assert_eq!(dump["breaches"].as_array().unwrap().len(), 0, "{}", dump["breaches"]);
     }
 }
 
-/// Strangers send what nobody understands to every port: datagrams, HTTP heads and bodies, peer messages. A user
-/// notices nothing, and the sender gets a clear error where the protocol has one.
+/// Guards against malformed input that stops or blocks an instance. Every port gets malformed datagrams, HTTP headers and
+/// bodies or peer messages, and the platform publishes an unreadable set. The sender gets an error where the protocol has
+/// one, and the instance still serves orders.
 #[tokio::test(flavor = "multi_thread")]
-async fn bad_input_gets_an_error_and_leaves_the_process_serving() {
-    let mut world = World::new(3).await;
-    world.start(0);
-    world.converge().await;
-    let process = &world.processes[&0];
+async fn malformed_input_gets_an_error_and_the_process_keeps_serving() {
+    let mut system = TestSystem::new(3).await;
+    system.start(0);
+    system.converge().await;
+    let process = &system.processes[&0];
     let udp = UdpSocket::bind("127.0.0.1:0").unwrap();
-    for junk in [vec![], vec![0; 1], vec![1; 3], vec![255; 1_200], vec![7; 60_000]] {
-        udp.send_to(&junk, process.forward).unwrap();
-        udp.send_to(&junk, SocketAddr::new(process.ip, world.udp_port)).unwrap();
+    for malformed_payload in [vec![], vec![0; 1], vec![1; 3], vec![255; 1_200], vec![7; 60_000]] {
+        udp.send_to(&malformed_payload, process.forward).unwrap();
+        udp.send_to(&malformed_payload, SocketAddr::new(process.ip, system.udp_port)).unwrap();
     }
-    for address in [SocketAddr::new(process.ip, world.port), process.control, process.admin] {
+    for address in [SocketAddr::new(process.ip, system.port), process.control, process.admin] {
         let mut stream = TcpStream::connect(address).unwrap();
         let _ = stream.write_all(b"\x00\x01 not http at all\r\n\r\n");
         let mut stream = TcpStream::connect(address).unwrap();
@@ -153,25 +155,27 @@
     assert!(String::from_utf8_lossy(&answer.body).contains("error"), "{answer:?}");
 
     let mut oversized = call("/ventas", vec![b'x'; (1 << 20) + 1]);
-    oversized.address = SocketAddr::new(process.ip, world.port);
+    oversized.address = SocketAddr::new(process.ip, system.port);
     if let Ok(answer) = oversized.send().await {
         assert_eq!(answer.status, 413);
     }
-    let mut odd = Call::get(SocketAddr::new(process.ip, world.port), "/ventas", Duration::from_secs(5), 1 << 20);
-    odd.headers.insert("hawthornshift-timeout-ms", http::HeaderValue::from_static("soon"));
-    assert_eq!(odd.send().await.unwrap().status, 400);
+    let mut invalid_timeout =
+        Call::get(SocketAddr::new(process.ip, system.port), "/ventas", Duration::from_secs(5), 1 << 20);
+    invalid_timeout.headers.insert("hawthornshift-timeout-ms", http::HeaderValue::from_static("soon"));
+    assert_eq!(invalid_timeout.send().await.unwrap().status, 400);
 
-    world.platform.publish("set", 99, "{\"revision\": 99, \"surprise\": true}".to_owned());
+    system.platform.publish("set", 99, "{\"revision\": 99, \"surprise\": true}".to_owned());
     sleep(Duration::from_millis(500)).await;
-    assert!(settle(&world, "after-bad-input").await);
-    let dump = world.dump(0).await.unwrap();
-    assert_eq!(dump["configuration"]["revision"], 1, "a set that cannot be read is not applied");
+    assert!(send_until_decided(&system, "after-bad-input").await);
+    let dump = system.dump(0).await.unwrap();
+    assert_eq!(dump["configuration"]["revision"], 1, "an unreadable set is not applied");
 }
 
-/// An operator starts an instance with several wrong settings at once, or on a port that is taken. Each fault is
-/// named, and the exit code tells the two apart.
+/// Guards against a start that reports only the first invalid setting, or the same exit code for every error. An instance
+/// is started with several invalid settings, then on a port in use: each error is named, with exit code 2 for the settings
+/// and 3 for the port.
 #[test]
-fn wrong_settings_and_an_occupied_port_are_told_apart() {
+fn invalid_settings_and_a_port_in_use_give_different_exit_codes() {
     let output = Command::new(INSTANCE)
         .args(["--id", "many", "--platform", "nowhere", "--lease-ms", "9000", "--admin", "10.0.0.1:1"])
         .env("HAWTHORNSHIFT_SURPRISE", "1")
@@ -193,19 +197,19 @@
     assert!(String::from_utf8(output.stderr).unwrap().contains("cannot listen"));
 }
 
-/// The platform cannot be reached when an instance starts, and no peer is known. The process starts, says that it is
-/// not ready, and serves as soon as the platform answers.
+/// Guards against an instance that exits or stays unready when the platform is unavailable at its start. Without platform
+/// and peers it reports that it is not ready; when the platform answers, it becomes ready and serves.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_instance_starts_without_the_platform_and_waits_for_it() {
-    let mut world = World::new(4).await;
-    world.platform.set_down(true);
-    world.start(0);
+async fn an_instance_starts_without_the_platform_and_is_ready_when_it_returns() {
+    let mut system = TestSystem::new(4).await;
+    system.platform.set_down(true);
+    system.start(0);
     let ready = async || {
-        let call = Call::get(world.processes[&0].admin, "/readyz", Duration::from_secs(2), 1 << 12);
+        let call = Call::get(system.processes[&0].admin, "/readyz", Duration::from_secs(2), 1 << 12);
         call.send().await.ok().map(|answer| answer.status.as_u16())
     };
     wait_for("the admin service", async || ready().await == Some(503)).await;
-    world.platform.set_down(false);
+    system.platform.set_down(false);
     wait_for("readiness", async || ready().await == Some(200)).await;
-    assert!(settle(&world, "late").await);
+    assert!(send_until_decided(&system, "late").await);
 }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! Real processes of the instance binary, with stand-ins in the test's own process.
-#![allow(dead_code, unreachable_pub, reason = "each test file uses its own part of the harness")]
+//! Test harness: instances as child processes, with test doubles of the platform and targets in the test's process.
+#![allow(dead_code, unreachable_pub, reason = "each test file uses only part of the harness")]
 
 use std::collections::BTreeMap;
 use std::net::IpAddr;
@@ -37,14 +37,14 @@
 use hawthornshift_standins::TargetKind;
 use hawthornshift_standins::target::ORDER_HEADER;
 
-/// Failure domains of the test world.
+/// Failure domains of the test system.
 pub const DOMAINS: [&str; 2] = ["norte", "sur"];
 /// Path of the instance binary.
 pub const INSTANCE: &str = env!("CARGO_BIN_EXE_hawthornshift");
-/// Longest time that anything waited for may take; far more than it needs.
-const PATIENCE: Duration = Duration::from_mins(1);
+/// Timeout of [`wait_for`]; far longer than any awaited condition needs.
+const WAIT_TIMEOUT: Duration = Duration::from_mins(1);
 
-/// One process.
+/// The process of one instance; dropping it kills the process.
 pub struct Process {
     pub child: Child,
     pub ip: IpAddr,
@@ -54,7 +54,7 @@
 }
 
 impl Process {
-    /// Sends a signal by its name.
+    /// Sends a signal, given by its name without `SIG`.
     pub fn signal(&self, name: &str) {
         let sent = Command::new("kill").arg(format!("-{name}")).arg(self.child.id().to_string()).status();
         assert!(sent.unwrap().success());
@@ -68,11 +68,11 @@
     }
 }
 
-/// A platform, targets and processes.
-pub struct World {
+/// A platform, targets and the processes of instances.
+pub struct TestSystem {
     pub platform: Platform,
     pub targets: Vec<Target>,
-    pub echoes: Vec<Target>,
+    pub datagram_targets: Vec<Target>,
     pub set: PublishedSet,
     pub processes: BTreeMap<InstanceId, Process>,
     pub port: u16,
@@ -82,20 +82,20 @@
     stop: CancellationToken,
 }
 
-impl Drop for World {
+impl Drop for TestSystem {
     fn drop(&mut self) {
         self.stop.cancel();
     }
 }
 
-impl World {
-    /// Starts a platform with targets; `subnet` keeps worlds of one test run apart.
+impl TestSystem {
+    /// Starts a platform with targets; `subnet` separates the addresses of systems that run concurrently.
     pub async fn new(subnet: u8) -> Self {
         let stop = CancellationToken::new();
         let ip = IpAddr::V4(Ipv4Addr::new(127, 7, subnet, 200));
         let platform = Platform::start(SocketAddr::new(ip, 0), stop.clone()).await.unwrap();
         let targets = start_targets(TargetKind::Http, "ventas", ip).await;
-        let echoes = start_targets(TargetKind::Datagram, "avisos", ip).await;
+        let datagram_targets = start_targets(TargetKind::Datagram, "avisos", ip).await;
         let (port, udp_port) = (free_port(subnet), free_port(subnet));
         let domain = |name: &&str| FailureDomain {
             name: (*name).to_owned(),
@@ -105,13 +105,13 @@
         let set = PublishedSet {
             revision: 1,
             failure_domains: DOMAINS.iter().map(domain).collect(),
-            target_groups: vec![group("ventas", &targets), group("avisos", &echoes)],
+            target_groups: vec![group("ventas", &targets), group("avisos", &datagram_targets)],
             services: vec![service("ventas", Protocol::Http, port), service("avisos", Protocol::Datagram, udp_port)],
         };
-        let world = Self {
+        let system = Self {
             platform,
             targets,
-            echoes,
+            datagram_targets,
             set,
             processes: BTreeMap::new(),
             port,
@@ -120,21 +120,21 @@
             list_version: 0,
             stop,
         };
-        world.publish();
-        world
+        system.publish();
+        system
     }
 
-    /// Publishes the set as it stands.
+    /// Publishes the current set.
     pub fn publish(&self) {
         self.platform.publish("set", self.set.revision, serde_json::to_string(&self.set).unwrap());
     }
 
-    /// Starts an instance as a process of its own.
+    /// Starts an instance as a child process.
     pub fn start(&mut self, id: InstanceId) {
         self.start_with(id, &[]);
     }
 
-    /// Starts an instance with further flags.
+    /// Starts an instance with additional flags, and publishes the new list of instances.
     pub fn start_with(&mut self, id: InstanceId, flags: &[String]) {
         let ip = IpAddr::V4(Ipv4Addr::new(127, 7, self.subnet, u8::try_from(id).unwrap() + 1));
         let at = |port| SocketAddr::new(ip, port);
@@ -149,11 +149,11 @@
             .spawn()
             .unwrap();
         self.processes.insert(id, Process { child, ip, admin, control, forward });
-        self.list();
+        self.publish_instance_list();
     }
 
-    /// Publishes the list of instances.
-    pub fn list(&mut self) {
+    /// Publishes the list of running instances under the next version.
+    pub fn publish_instance_list(&mut self) {
         self.list_version += 1;
         let entry = |(id, process): (&InstanceId, &Process)| ListedInstance {
             id: *id,
@@ -167,17 +167,17 @@
         self.platform.publish("instances", self.list_version, serde_json::to_string(&list).unwrap());
     }
 
-    /// Returns an instance's state, if it answers.
+    /// Returns an instance's dump, or `None` if it does not answer within 2 s.
     pub async fn dump(&self, id: InstanceId) -> Option<Value> {
         let call = Call::get(self.processes[&id].admin, "/v1/dump", Duration::from_secs(2), 1 << 22);
         serde_json::from_slice(&call.send().await.ok()?.body).ok()
     }
 
-    /// Waits until every process is ready and sees the same fleet under the published set.
+    /// Waits until every instance is ready, lists all instances as serving and has applied the published set.
     pub async fn converge(&self) {
         let count = self.processes.len();
         let revision = self.set.revision;
-        wait_for("the processes to agree", async || {
+        wait_for("all instances to be ready with the same set", async || {
             for id in self.processes.keys() {
                 let Some(dump) = self.dump(*id).await else { return false };
                 let serving = dump["serving"].as_array().map_or(0, Vec::len);
@@ -191,7 +191,7 @@
         .await;
     }
 
-    /// Sends an order through an instance.
+    /// Sends an order through an instance, with the ticket if there is one.
     pub async fn post(&self, id: InstanceId, order: &str, ticket: Option<&str>) -> Result<Response, ExchangeError> {
         let mut headers = HeaderMap::new();
         headers.insert(ORDER_HEADER, HeaderValue::from_str(order).unwrap());
@@ -210,7 +210,7 @@
         call.send().await
     }
 
-    /// Returns how often an order ran, by the targets' own count.
+    /// Returns the number of runs of an order, as counted by the targets.
     pub fn runs(&self, order: &str) -> u32 {
         self.targets.iter().map(|target| target.counts().runs.get(order).copied().unwrap_or(0)).sum()
     }
@@ -256,16 +256,16 @@
     std::net::TcpListener::bind((ip, 0)).unwrap().local_addr().unwrap().port()
 }
 
-/// Returns a header of an answer.
+/// Returns the value of a response header, if it is present and is text.
 pub fn header(response: &Response, name: &str) -> Option<String> {
     response.headers.get(name).and_then(|value| value.to_str().ok()).map(str::to_owned)
 }
 
-/// Waits until something is so.
-pub async fn wait_for(what: &str, is_so: impl AsyncFn() -> bool) {
+/// Polls a condition until it holds; panics after [`WAIT_TIMEOUT`].
+pub async fn wait_for(what: &str, condition: impl AsyncFn() -> bool) {
     let start = Instant::now();
-    while !is_so().await {
-        assert!(start.elapsed() < PATIENCE, "waited too long for {what}");
+    while !condition().await {
+        assert!(start.elapsed() < WAIT_TIMEOUT, "waited too long for {what}");
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
 }
