--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -58,7 +58,7 @@
 pub struct Options {
     /// Seed that the faults are generated from.
     pub seed: u64,
-    /// Length of the run, up to the last fault plus the time for recovery.
+    /// Length of the run; it takes longer if a fault is still active at its end.
     pub length: Duration,
     /// Number of instances.
     pub instances: usize,
@@ -399,7 +399,7 @@
 
     async fn collect_verdict(&self) -> io::Result<Verdict> {
         let end = self.ledger.elapsed().as_secs();
-        // The last three whole seconds, which begin after the restart that follows the last kill.
+        // The last three whole seconds, which begin after the last kill.
         let recovered = self.ledger.answered_between(end.saturating_sub(3), end);
         if recovered == 0 || self.options.sabotage == Some(Invariant::Recovery) {
             self.ledger.record_breach(Invariant::Recovery, "no request was answered in the last seconds of the run");
--- a/crates/soak/src/wire.rs
+++ b/crates/soak/src/wire.rs
@@ -1,7 +1,7 @@
 //! Encoding of the packets of callers and targets.
 //!
-//! A keyed checksum over the header, without the cookie, and the data lets each end detect a packet that was modified on
-//! the way.
+//! A keyed checksum over the header fields, except the cookie, and the data lets each end detect a packet that was
+//! modified on the way.
 
 use std::hash::Hasher as _;
 use std::net::Ipv4Addr;
--- a/crates/standins/src/store.rs
+++ b/crates/standins/src/store.rs
@@ -143,7 +143,7 @@
         self.changed.notify_waiters();
     }
 
-    /// Returns the number of requests received so far, in every mood.
+    /// Returns the number of requests received so far, whatever the [`Mood`].
     #[must_use]
     pub fn calls(&self) -> u64 {
         self.state().calls
--- a/tests/processes.rs
+++ b/tests/processes.rs
@@ -63,7 +63,7 @@
 /// Guards against an order that runs twice when instances fail. One instance is killed, another is paused for longer than
 /// its lease, the platform becomes unavailable, the killed one is restarted under its old address, and one stops
 /// gracefully, all while orders are sent. An order's outcome may stay unknown to its caller, but no order runs twice, and
-/// all orders are answered once the faults are over.
+/// every order that is sent after the faults runs exactly once.
 #[tokio::test(flavor = "multi_thread")]
 async fn orders_run_at_most_once_while_processes_crash_pause_and_restart() {
     let mut system = TestSystem::new(2).await;
@@ -87,7 +87,7 @@
     system.processes.remove(&0);
     system.publish_instance_list();
 
-    // Callers try the paused instance last or nearly so, but it may be the owner or the coordinator of any order.
+    // Callers try the paused instance last, but owners and coordinators are chosen at random and may be the paused one.
     system.processes[&1].signal("STOP");
     orders.extend(batch(&system, "frozen").await);
     system.processes[&1].signal("CONT");
