--- a/crates/cli/src/ctl/sets.rs
+++ b/crates/cli/src/ctl/sets.rs
@@ -5,11 +5,11 @@
 use super::output::Output;
 use crate::exit::Exit;
 use hawthornshift_model::CheckedSet;
-use hawthornshift_model::Fault;
+use hawthornshift_model::Diagnostic;
 use hawthornshift_model::Severity;
 use hawthornshift_model::check::CheckError;
 use hawthornshift_model::diff::Change;
-use hawthornshift_model::diff::check_succession;
+use hawthornshift_model::diff::check_successor;
 use hawthornshift_model::diff::diff as changes_between;
 
 /// The result of a check.
@@ -19,7 +19,7 @@
     accepted: bool,
     #[serde(skip_serializing_if = "Option::is_none")]
     error: Option<String>,
-    faults: Vec<Fault>,
+    faults: Vec<Diagnostic>,
 }
 
 /// The result of a comparison.
@@ -27,7 +27,7 @@
 #[serde(deny_unknown_fields)]
 struct DiffReport {
     changes: Vec<Change>,
-    faults: Vec<Fault>,
+    faults: Vec<Diagnostic>,
 }
 
 /// Why a file gave no set.
@@ -45,7 +45,7 @@
     let report = match load(file) {
         Ok(set) => CheckReport { accepted: true, error: None, faults: set.warnings().to_vec() },
         Err(LoadError::File(error)) => return cannot_read(file, &error),
-        Err(LoadError::Set(CheckError::Faulty(faults))) => CheckReport { accepted: false, error: None, faults },
+        Err(LoadError::Set(CheckError::Invalid(faults))) => CheckReport { accepted: false, error: None, faults },
         Err(LoadError::Set(error)) => {
             CheckReport { accepted: false, error: Some(error.to_string()), faults: Vec::new() }
         }
@@ -79,7 +79,7 @@
         (_, Err(error)) => return explain(new, error),
     };
     let report =
-        DiffReport { changes: changes_between(old.set(), new.set()), faults: check_succession(old.set(), new.set()) };
+        DiffReport { changes: changes_between(old.set(), new.set()), faults: check_successor(old.set(), new.set()) };
     output.print(&report, print_diff);
     if report.faults.is_empty() { Exit::Good } else { Exit::Bad }
 }
--- a/crates/model/src/check.rs
+++ b/crates/model/src/check.rs
@@ -1,8 +1,8 @@
-//! The check of a whole set.
+//! Validation of a published set.
 //!
-//! A set is taken whole or not at all. Every fault is reported at once, each with the object and field it is in, so
-//! that an operator mends a set in one round. [`CheckedSet`] can only be made here: a function that takes one needs
-//! no check of its own.
+//! A set is accepted or refused as a whole. The check reports all diagnostics at once, each with its object and field,
+//! so that an operator can correct a set in one pass. Only this module constructs a [`CheckedSet`], so a function that
+//! takes one does not validate again.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -22,82 +22,83 @@
 use crate::set::Target;
 use crate::set::TargetGroup;
 
-/// Largest set in bytes: the most that the platform's configuration service holds in one value.
+/// Maximum size of a set in bytes: the size limit of one value in the platform's configuration service.
 pub const MAX_SET_BYTES: usize = 1 << 20;
-/// Longest name in bytes.
+/// Maximum length of a name in bytes.
 pub const MAX_NAME_BYTES: usize = 63;
-/// Most failure domains in a set.
+/// Maximum number of failure domains in a set.
 pub const MAX_DOMAINS: usize = 64;
-/// Most targets in a set; twice the size designed for.
+/// Maximum number of targets in a set; twice the design size.
 pub const MAX_TARGETS: usize = 9_600;
-/// Most services in a set; twice the size designed for.
+/// Maximum number of services in a set; twice the design size.
 pub const MAX_SERVICES: usize = 1_520;
-/// Most slots of one target.
+/// Maximum number of slots (concurrent requests) of one target.
 pub const MAX_SLOTS: u32 = 4_096;
-/// Most flows of one target; a datagram flow takes one local port, of which there are fewer than 65,536.
+/// Maximum number of concurrent flows of one target. Each datagram flow uses one local port, and there are fewer than
+/// 65,536 of them.
 pub const MAX_CONNECTIONS: u32 = 60_000;
-/// Longest timeout and idle time in milliseconds: one day.
+/// Maximum request timeout and idle timeout in milliseconds: one day.
 pub const MAX_TIME_MS: u64 = 86_400_000;
 
-/// Whether a fault keeps a set from being published.
+/// Severity of a diagnostic.
 #[derive(Clone, Copy, Debug, Display, Eq, IntoStaticStr, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
 pub enum Severity {
     /// The set is refused.
     Error,
-    /// The set is taken, but an operator should know.
+    /// The set is accepted; operators are notified.
     Warning,
 }
 
-/// One thing that is wrong with a set.
+/// One problem found in a set.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct Fault {
-    /// Whether it keeps the set from being published.
+pub struct Diagnostic {
+    /// Whether the problem prevents publication.
     pub severity: Severity,
-    /// Kind and name of the object, such as `service counter-api`.
+    /// Kind and name of the affected object, such as `service counter-api`.
     pub object: String,
-    /// The field at fault.
+    /// Name of the invalid field.
     pub field: String,
-    /// What is wrong with it.
+    /// Why the field is invalid.
     pub reason: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for Diagnostic {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Self { severity, object, field, reason } = self;
         write!(f, "{severity}: {object}: {field}: {reason}")
     }
 }
 
-/// A set that was refused.
+/// Reason for refusing a set.
 #[derive(Debug, Error)]
 pub enum CheckError {
-    /// The text is longer than the platform can hold.
-    #[error("the set has {0} bytes, more than the {MAX_SET_BYTES} that the platform holds")]
+    /// The JSON text exceeds [`MAX_SET_BYTES`]; holds its size in bytes.
+    #[error("the set has {0} bytes; the platform's limit is {MAX_SET_BYTES} bytes")]
     TooLarge(usize),
-    /// The text is not JSON of the right shape.
-    #[error("the set cannot be read: {0}")]
+    /// The text is not valid JSON or does not match the schema.
+    #[error("cannot parse the set: {0}")]
     Unreadable(#[from] serde_json::Error),
-    /// The objects are at odds with each other or with the limits.
-    #[error("the set has {} faults, the first: {}", .0.len(), .0[0])]
-    Faulty(Vec<Fault>),
+    /// Objects contradict each other or exceed a limit; holds all diagnostics, warnings included.
+    #[error("the set has {} diagnostics; first: {}", .0.len(), .0[0])]
+    Invalid(Vec<Diagnostic>),
 }
 
-/// A set that has passed the check.
+/// A set that has passed validation.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct CheckedSet {
     set: PublishedSet,
-    warnings: Vec<Fault>,
+    warnings: Vec<Diagnostic>,
 }
 
 impl CheckedSet {
-    /// Reads a set from JSON and checks it whole.
+    /// Parses a set from JSON and validates it.
     ///
     /// # Errors
     ///
-    /// Returns every fault of the set, or the reason why it cannot be read at all.
+    /// Returns all diagnostics of the set if any is an error, or why the text is too large or cannot be parsed.
     pub fn from_json(text: &[u8]) -> Result<Self, CheckError> {
         if text.len() > MAX_SET_BYTES {
             return Err(CheckError::TooLarge(text.len()));
@@ -105,17 +106,17 @@
         Self::new(serde_json::from_slice(text)?)
     }
 
-    /// Checks a set whole.
+    /// Validates a set.
     ///
     /// # Errors
     ///
-    /// Returns every fault of the set.
+    /// Returns all diagnostics of the set if any is an error.
     pub fn new(set: PublishedSet) -> Result<Self, CheckError> {
-        let faults = check(&set);
-        if faults.iter().any(|fault| fault.severity == Severity::Error) {
-            return Err(CheckError::Faulty(faults));
+        let diagnostics = check(&set);
+        if diagnostics.iter().any(|diagnostic| diagnostic.severity == Severity::Error) {
+            return Err(CheckError::Invalid(diagnostics));
         }
-        Ok(Self { set, warnings: faults })
+        Ok(Self { set, warnings: diagnostics })
     }
 
     /// Returns the set.
@@ -124,42 +125,43 @@
         &self.set
     }
 
-    /// Returns a hash of the content, equal on every instance that holds the same set.
+    /// Returns a hash of the content; it is equal on all instances that have the same set.
     ///
     /// # Panics
     ///
-    /// Never: a set consists of names and numbers, all of which JSON can hold.
+    /// Never: a set consists of names and numbers, all of which JSON can represent.
     #[must_use]
     pub fn digest(&self) -> u64 {
         let text = serde_json::to_vec(&self.set).expect("a set is always representable as JSON");
         xxh3_64(&text)
     }
 
-    /// Returns what an operator should know although the set was taken.
+    /// Returns the warnings of the accepted set.
     #[must_use]
-    pub fn warnings(&self) -> &[Fault] {
+    pub fn warnings(&self) -> &[Diagnostic] {
         &self.warnings
     }
 }
 
-/// Returns every fault of a set, errors and warnings, in the order of its objects.
+/// Returns all diagnostics of a set, errors and warnings, grouped by check: size, domains, target groups, services and
+/// capacity.
 #[must_use]
-pub fn check(set: &PublishedSet) -> Vec<Fault> {
+pub fn check(set: &PublishedSet) -> Vec<Diagnostic> {
     let mut checker = Checker::new(set);
     checker.check_size();
     checker.check_domains();
     checker.check_groups();
     checker.check_services();
     checker.check_capacity();
-    checker.faults
+    checker.diagnostics
 }
 
-/// Collects faults while it walks over a set.
+/// Validates a set and collects diagnostics.
 struct Checker<'a> {
     set: &'a PublishedSet,
     domains: HashSet<&'a str>,
     groups: HashMap<&'a str, &'a TargetGroup>,
-    faults: Vec<Fault>,
+    diagnostics: Vec<Diagnostic>,
 }
 
 impl<'a> Checker<'a> {
@@ -168,12 +170,12 @@
             set,
             domains: set.failure_domains.iter().map(|domain| domain.name.as_str()).collect(),
             groups: set.target_groups.iter().map(|group| (group.name.as_str(), group)).collect(),
-            faults: Vec::new(),
+            diagnostics: Vec::new(),
         }
     }
 
     fn report(&mut self, severity: Severity, object: String, field: &str, reason: String) {
-        self.faults.push(Fault { severity, object, field: field.to_owned(), reason });
+        self.diagnostics.push(Diagnostic { severity, object, field: field.to_owned(), reason });
     }
 
     fn error(&mut self, object: String, field: &str, reason: impl Into<String>) {
@@ -189,31 +191,31 @@
             self.error("set".to_owned(), "revision", "must be at least 1");
         }
         if self.set.failure_domains.is_empty() {
-            self.error("set".to_owned(), "failure_domains", "at least one is needed");
+            self.error("set".to_owned(), "failure_domains", "at least one is required");
         }
     }
 
-    fn check_count(&mut self, field: &str, count: usize, most: usize) {
-        if count > most {
-            self.error("set".to_owned(), field, format!("{count} are more than the {most} allowed"));
+    fn check_count(&mut self, field: &str, count: usize, max: usize) {
+        if count > max {
+            self.error("set".to_owned(), field, format!("{count} exceed the limit of {max}"));
         }
     }
 
     fn check_name(&mut self, kind: &str, name: &str, seen: &mut HashSet<String>) {
         let object = format!("{kind} {name}");
-        let legal = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-' || c == '.';
-        if name.is_empty() || name.len() > MAX_NAME_BYTES || !name.chars().all(legal) {
+        let is_allowed = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-' || c == '.';
+        if name.is_empty() || name.len() > MAX_NAME_BYTES || !name.chars().all(is_allowed) {
             let reason = format!("must be 1 to {MAX_NAME_BYTES} of a-z, 0-9, '-' and '.'");
             self.error(object.clone(), "name", reason);
         }
         if !seen.insert(name.to_owned()) {
-            self.error(object, "name", "is used more than once");
+            self.error(object, "name", "is not unique");
         }
     }
 
-    fn check_range(&mut self, object: &str, field: &str, value: u64, most: u64) {
-        if value == 0 || value > most {
-            self.error(object.to_owned(), field, format!("{value} is not between 1 and {most}"));
+    fn check_range(&mut self, object: &str, field: &str, value: u64, max: u64) {
+        if value == 0 || value > max {
+            self.error(object.to_owned(), field, format!("{value} is not between 1 and {max}"));
         }
     }
 
@@ -227,7 +229,7 @@
         }
         let all_out = self.set.failure_domains.iter().all(|domain| domain.state == DomainState::Out);
         if all_out && !self.set.failure_domains.is_empty() {
-            self.error("set".to_owned(), "failure_domains", "every one is out, which leaves nothing in service");
+            self.error("set".to_owned(), "failure_domains", "all are out; at least one must be in service");
         }
     }
 
@@ -235,14 +237,14 @@
         let mut seen = HashSet::new();
         for group in &self.set.target_groups {
             self.check_name("target group", &group.name, &mut seen);
-            self.check_members(group);
+            self.check_targets(group);
         }
         self.check_target_addresses();
     }
 
-    fn check_members(&mut self, group: &'a TargetGroup) {
+    fn check_targets(&mut self, group: &'a TargetGroup) {
         if group.targets.is_empty() {
-            self.error(format!("target group {}", group.name), "targets", "a group needs at least one");
+            self.error(format!("target group {}", group.name), "targets", "at least one is required");
         }
         let mut seen = HashSet::new();
         for target in &group.targets {
@@ -264,11 +266,12 @@
 
     fn check_address(&mut self, object: &str, field: &str, address: SocketAddr) {
         if address.port() == 0 || address.ip().is_unspecified() || address.ip().is_multicast() {
-            self.error(object.to_owned(), field, format!("{address} is not an address that packets can be sent to"));
+            self.error(object.to_owned(), field, format!("{address} is not a unicast address with a nonzero port"));
         }
     }
 
-    /// Two targets at one address would be counted as two, and each would get the load that one can bear.
+    /// Rejects duplicate target addresses: two targets at one address would be counted as two, and the endpoint would
+    /// receive twice the load that it can handle.
     fn check_target_addresses(&mut self) {
         let mut owners: HashMap<SocketAddr, String> = HashMap::new();
         for group in &self.set.target_groups {
@@ -287,14 +290,14 @@
         for service in &self.set.services {
             self.check_name("service", &service.name, &mut seen);
             self.check_service(service);
-            let place = (service.address, service.protocol.is_datagram());
-            if let Some(other) = owners.insert(place, &service.name) {
+            let endpoint = (service.address, service.protocol.is_datagram());
+            if let Some(other) = owners.insert(endpoint, &service.name) {
                 let reason = format!("{} is also the address of service {other}", service.address);
                 self.error(format!("service {}", service.name), "address", reason);
             }
         }
         self.check_identities();
-        self.check_service_behind_itself();
+        self.check_target_at_service_address();
     }
 
     fn check_service(&mut self, service: &Service) {
@@ -307,62 +310,64 @@
             return;
         }
         if service.class == Class::Critical && service.peak_slots == 0 {
-            self.error(object, "peak_slots", "a critical service must say how many slots its callers need");
+            self.error(object, "peak_slots", "is required for a critical service");
         } else if service.class == Class::Bulk && service.peak_slots > 0 {
-            self.error(object, "peak_slots", "a bulk service takes what is free and can ask for no slots");
+            self.error(object, "peak_slots", "must be zero for a bulk service, which only uses free slots");
         }
     }
 
-    /// Two services whose identities collide could get each other's packets.
+    /// Rejects colliding service identities: two such services could receive each other's packets.
     fn check_identities(&mut self) {
         let mut owners = HashMap::new();
         for service in &self.set.services {
             if let Some(other) = owners.insert(service.id(), &service.name) {
-                let reason = format!("has the same identity as {other}; choose another name");
+                let reason = format!("hashes to the same identity as service {other}; choose another name");
                 self.error(format!("service {}", service.name), "name", reason);
             }
         }
     }
 
-    /// A target at a service's address would have instances send packets to themselves for ever.
-    fn check_service_behind_itself(&mut self) {
+    /// Rejects targets at a service's address: instances would forward packets to themselves in an endless loop.
+    fn check_target_at_service_address(&mut self) {
         let addresses: HashMap<SocketAddr, &str> =
             self.set.services.iter().map(|service| (service.address, service.name.as_str())).collect();
         for group in &self.set.target_groups {
             for target in &group.targets {
                 if let Some(service) = addresses.get(&target.address) {
                     let object = format!("target {} of {}", target.name, group.name);
-                    self.error(object, "address", format!("{} belongs to service {service}", target.address));
+                    self.error(object, "address", format!("{} is the address of service {service}", target.address));
                 }
             }
         }
     }
 
-    /// Each failure domain must be able to carry every critical service alone: that is an error, since the promise
-    /// would be broken just when the other domains are gone. For other classes it is a warning.
+    /// Checks that each failure domain in service has enough slots to serve the peak load alone.
+    ///
+    /// For critical services a shortage is an error, since they would be overloaded exactly when the other domains have
+    /// failed. For other classes it is a warning.
     fn check_capacity(&mut self) {
-        let mut needs: HashMap<(&str, Class), u32> = HashMap::new();
+        let mut peak_slots: HashMap<(&str, Class), u32> = HashMap::new();
         for service in self.set.services.iter().filter(|service| service.peak_slots > 0) {
-            let need = needs.entry((service.target_group.as_str(), service.class)).or_default();
-            *need = need.saturating_add(service.peak_slots);
+            let required_slots = peak_slots.entry((service.target_group.as_str(), service.class)).or_default();
+            *required_slots = required_slots.saturating_add(service.peak_slots);
         }
-        let mut needs: Vec<_> = needs.into_iter().collect();
-        needs.sort_unstable();
-        for ((group, class), need) in needs {
-            self.check_group_capacity(group, class, need);
+        let mut peak_slots: Vec<_> = peak_slots.into_iter().collect();
+        peak_slots.sort_unstable();
+        for ((group, class), required_slots) in peak_slots {
+            self.check_group_capacity(group, class, required_slots);
         }
     }
 
-    fn check_group_capacity(&mut self, group: &str, class: Class, need: u32) {
+    fn check_group_capacity(&mut self, group: &str, class: Class, required_slots: u32) {
         let Some(group) = self.groups.get(group).copied() else { return };
         for domain in self.set.failure_domains.iter().filter(|domain| domain.state == DomainState::InService) {
             let slots = domain_slots(group, &domain.name);
-            if slots >= need {
+            if slots >= required_slots {
                 continue;
             }
             let severity = if class == Class::Critical { Severity::Error } else { Severity::Warning };
             let reason = format!(
-                "failure domain {} has {slots} slots and cannot carry the {need} that {class} services need alone",
+                "failure domain {} has {slots} slots; {class} services need {required_slots} if it is alone",
                 domain.name
             );
             self.report(severity, format!("target group {}", group.name), "targets", reason);
@@ -370,7 +375,7 @@
     }
 }
 
-/// Returns the slots of a group's targets in one failure domain, leaving targets not counted.
+/// Returns the total slots of a group's targets in one failure domain, without targets that are leaving.
 #[must_use]
 pub fn domain_slots(group: &TargetGroup, domain: &str) -> u32 {
     let members = group.targets.iter().filter(|target| target.failure_domain == domain && !target.leaving);
--- a/crates/model/src/diff.rs
+++ b/crates/model/src/diff.rs
@@ -1,4 +1,4 @@
-//! What changes from one set to the next, and whether the next may follow.
+//! Differences between two sets, and whether one may replace the other.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -6,7 +6,7 @@
 use serde::Serialize;
 use strum::Display;
 
-use crate::check::Fault;
+use crate::check::Diagnostic;
 use crate::check::Severity;
 use crate::set::PublishedSet;
 
@@ -15,11 +15,11 @@
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
 pub enum ChangeKind {
-    /// Only the new set has it.
+    /// The object exists only in the new set.
     Added,
-    /// Only the old set has it.
+    /// The object exists only in the old set.
     Removed,
-    /// Both have it, with other content.
+    /// The object exists in both sets with different content.
     Changed,
 }
 
@@ -27,7 +27,7 @@
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Change {
-    /// How it differs.
+    /// Kind of difference.
     pub kind: ChangeKind,
     /// Kind and name of the object.
     pub object: String,
@@ -39,7 +39,7 @@
     }
 }
 
-/// Returns the objects that differ between two sets, sorted by kind and name.
+/// Returns the objects that differ between two sets, sorted by the text of kind and name.
 #[must_use]
 pub fn diff(old: &PublishedSet, new: &PublishedSet) -> Vec<Change> {
     let old = objects(old);
@@ -48,7 +48,7 @@
     for (object, content) in &new {
         match old.get(object) {
             None => changes.push(Change { kind: ChangeKind::Added, object: object.clone() }),
-            Some(before) if before != content => {
+            Some(previous) if previous != content => {
                 changes.push(Change { kind: ChangeKind::Changed, object: object.clone() });
             }
             Some(_) => {}
@@ -60,32 +60,32 @@
     changes
 }
 
-/// Returns the faults that keep `new` from following `old`.
+/// Returns the errors that prevent `new` from replacing `old`.
 ///
-/// A service keeps its protocol and address for as long as it keeps its name: callers and packets on their way would
-/// otherwise land on what they never asked for.
+/// The revision must increase. A service keeps its protocol and address for as long as it keeps its name: otherwise
+/// callers and packets in flight would reach a service that they did not address.
 #[must_use]
-pub fn check_succession(old: &PublishedSet, new: &PublishedSet) -> Vec<Fault> {
-    let mut faults = Vec::new();
+pub fn check_successor(old: &PublishedSet, new: &PublishedSet) -> Vec<Diagnostic> {
+    let mut diagnostics = Vec::new();
     if new.revision <= old.revision {
-        let reason = format!("{} does not follow {}", new.revision, old.revision);
-        faults.push(fault("set".to_owned(), "revision", reason));
+        let reason = format!("{} is not greater than the current {}", new.revision, old.revision);
+        diagnostics.push(error("set".to_owned(), "revision", reason));
     }
     for service in &new.services {
-        let before = old.services.iter().find(|other| other.name == service.name);
-        if before.is_some_and(|before| before.id() != service.id()) {
-            let reason = "protocol or address changes under the same name; use a new name".to_owned();
-            faults.push(fault(format!("service {}", service.name), "address", reason));
+        let previous = old.services.iter().find(|other| other.name == service.name);
+        if previous.is_some_and(|previous| previous.id() != service.id()) {
+            let reason = "a service cannot change its protocol or address; use a new name".to_owned();
+            diagnostics.push(error(format!("service {}", service.name), "address", reason));
         }
     }
-    faults
+    diagnostics
 }
 
-fn fault(object: String, field: &str, reason: String) -> Fault {
-    Fault { severity: Severity::Error, object, field: field.to_owned(), reason }
+fn error(object: String, field: &str, reason: String) -> Diagnostic {
+    Diagnostic { severity: Severity::Error, object, field: field.to_owned(), reason }
 }
 
-/// Lists a set's objects by kind and name, each with its content as text to compare.
+/// Returns a set's objects by kind and name, each with its content as text for comparison.
 fn objects(set: &PublishedSet) -> BTreeMap<String, String> {
     let mut objects = BTreeMap::new();
     for domain in &set.failure_domains {
--- a/crates/model/src/flow.rs
+++ b/crates/model/src/flow.rs
@@ -1,4 +1,4 @@
-//! What tells one flow from another.
+//! Keys that identify flows.
 
 use std::net::IpAddr;
 use std::net::SocketAddr;
@@ -9,18 +9,18 @@
 
 use crate::ids::ServiceId;
 
-/// One caller's flow to one service.
+/// Identifies a flow from one caller to one service.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct FlowKey {
-    /// The service that the caller addressed.
+    /// Identity of the service that the caller addressed.
     pub service: ServiceId,
-    /// The caller's address and port.
+    /// Address and port of the caller.
     pub caller: SocketAddr,
 }
 
 impl FlowKey {
-    /// Returns the 64-bit value that every instance ranks by; equal on all of them.
+    /// Returns the 64-bit hash that instances use for rendezvous ranking; it is equal on all instances.
     #[must_use]
     pub fn hash64(&self) -> u64 {
         let mut buf = [0_u8; KEY_BYTES];
@@ -33,5 +33,5 @@
     }
 }
 
-/// Bytes of an IPv6 address and a port.
+/// Size of an IPv6 address and a port in bytes.
 const KEY_BYTES: usize = 18;
--- a/crates/model/src/ids.rs
+++ b/crates/model/src/ids.rs
@@ -1,4 +1,4 @@
-//! Aliases for the identifiers that cross package boundaries.
+//! Identifier types shared between packages.
 
 use std::net::SocketAddr;
 
@@ -6,25 +6,25 @@
 
 use crate::protocol::Protocol;
 
-/// Number of an instance, unique among the live ones; it comes from the instance's settings.
+/// Number of an instance from its settings; unique among the running instances.
 pub type InstanceId = u32;
 
-/// Start of one life of an instance in milliseconds since the Unix epoch; a restart has a higher one.
+/// Start time of an instance's process in milliseconds since the Unix epoch; it is higher after each restart.
 pub type Incarnation = u64;
 
-/// Number of a published set; it only ever rises.
+/// Revision of a published set; strictly increasing.
 pub type Revision = u64;
 
-/// Identity of a service, derived by [`service_id`].
+/// Identity of a service; computed by [`service_id`].
 pub type ServiceId = u64;
 
-/// Identity of a target, derived by [`target_id`].
+/// Identity of a target; computed by [`target_id`].
 pub type TargetId = u64;
 
-/// Derives a service's identity from its name, protocol and address.
+/// Computes a service's identity from its name, protocol and address.
 ///
-/// An identity that is computed needs no memory: no later set can give it to another service, and an instance that
-/// has just started agrees with the rest about it.
+/// A computed identity needs no stored state: no later set can assign it to another service, and an instance that has
+/// just started computes the same value as the others.
 #[must_use]
 pub fn service_id(name: &str, protocol: Protocol, address: SocketAddr) -> ServiceId {
     let mut hasher = Xxh3::with_seed(SERVICE_SEED);
@@ -35,9 +35,10 @@
     hasher.digest()
 }
 
-/// Derives a target's identity from the names of its group and itself and from its address.
+/// Computes a target's identity from its group's name, its own name and its address.
 ///
-/// The address takes part so that a target moved to another machine under its old name counts as a new, cold one.
+/// The address is included so that a target that moves to another machine under the same name counts as a new, cold
+/// target.
 #[must_use]
 pub fn target_id(group: &str, name: &str, address: SocketAddr) -> TargetId {
     let mut hasher = Xxh3::with_seed(TARGET_SEED);
@@ -49,7 +50,7 @@
     hasher.digest()
 }
 
-/// Separates the hashes of services from those of targets.
+/// Hash seed for service identities: "serv" in ASCII, distinct from that of targets.
 const SERVICE_SEED: u64 = 0x73_65_72_76;
-/// Separates the hashes of targets from those of services.
+/// Hash seed for target identities: "targ" in ASCII, distinct from that of services.
 const TARGET_SEED: u64 = 0x74_61_72_67;
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,9 +1,9 @@
-//! The words that every other package shares.
+//! Types shared by all other packages.
 //!
-//! This package holds the objects that operators publish ([`set`]), the check of a whole set before anything of it
-//! takes effect ([`check`]), the difference between two sets ([`diff`]), the keys of flows ([`flow`]) and the
-//! [`Verdict`] that each failed request carries. It has no clock and no socket, so that an operator's tool and an
-//! instance judge a set by the same code.
+//! This package defines the objects that operators publish ([`set`]), the validation of a set before any part of it
+//! takes effect ([`check`]), the difference between two sets ([`diff`]), flow keys ([`flow`]) and the [`Verdict`] that
+//! each failed request carries. It uses no clock and no socket, so that the operators' tool and the instances validate
+//! a set with the same code.
 
 pub mod check;
 pub mod diff;
@@ -14,7 +14,7 @@
 pub mod verdict;
 
 pub use check::CheckedSet;
-pub use check::Fault;
+pub use check::Diagnostic;
 pub use check::Severity;
 pub use flow::FlowKey;
 pub use ids::Incarnation;
--- a/crates/model/src/set.rs
+++ b/crates/model/src/set.rs
@@ -1,7 +1,7 @@
 //! The objects of a published set, as operators write them in JSON.
 //!
-//! Objects refer to one another by name. Unknown fields are refused, so that a misspelt limit is an error and not a
-//! silent default.
+//! Objects refer to each other by name. Unknown fields are rejected, so that a misspelt limit is an error and does not
+//! silently become the default.
 
 use std::net::SocketAddr;
 
@@ -18,52 +18,53 @@
 use crate::ids::TargetId;
 use crate::protocol::Protocol;
 
-/// Everything that operators publish at once.
+/// The complete configuration that operators publish as one unit.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct PublishedSet {
-    /// Number of this set; each published set has a higher one than the last.
+    /// Revision of this set; each published set has a higher revision than the previous one.
     pub revision: Revision,
-    /// The failure domains of both instances and targets.
+    /// Failure domains of instances and targets.
     pub failure_domains: Vec<FailureDomain>,
     /// Groups of interchangeable targets.
     pub target_groups: Vec<TargetGroup>,
-    /// What callers can reach.
+    /// Services that callers can reach.
     pub services: Vec<Service>,
 }
 
-/// A part of the installation that fails, and is taken out of service, as one.
+/// A part of the installation that fails, and is taken out of service, as a unit.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct FailureDomain {
     /// Unique name.
     pub name: String,
-    /// The region it lies in; domains of one region are near each other.
+    /// Name of its region; domains in one region are close to each other in the network.
     pub region: String,
-    /// Whether it may carry traffic.
+    /// Whether the failure domain may receive traffic.
     #[serde(default)]
     pub state: DomainState,
 }
 
-/// Whether a failure domain may carry traffic.
+/// Whether a failure domain may receive traffic.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Display, EnumString, Eq, IntoStaticStr, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
 pub enum DomainState {
-    /// Flows and requests may go there.
+    /// The domain receives flows and requests.
     #[default]
     InService,
-    /// Operators have taken it out: no flow and no request may go there, and flows there are given up.
+    /// Operators have taken the domain out of service: it receives no flows or requests, and its existing flows are
+    /// abandoned.
     Out,
 }
 
-/// Targets any of which can serve a service's callers.
+/// A group of interchangeable targets that serve a service.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct TargetGroup {
     /// Unique name.
     pub name: String,
-    /// The members.
+    /// Targets of the group.
     pub targets: Vec<Target>,
 }
 
@@ -73,51 +74,51 @@
 pub struct Target {
     /// Name, unique in its group.
     pub name: String,
-    /// Name of the failure domain it runs in.
+    /// Name of the failure domain that the target runs in.
     pub failure_domain: String,
-    /// Where it serves.
+    /// Address that the target serves on.
     pub address: SocketAddr,
-    /// Where it answers health checks over HTTP; its service address when absent.
+    /// Address that answers HTTP health checks; defaults to `address`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub health: Option<SocketAddr>,
-    /// Requests it can run at once.
+    /// Maximum number of concurrent requests.
     #[serde(default = "default_slots")]
     pub slots: u32,
-    /// Flows it can hold at once.
+    /// Maximum number of concurrent flows.
     #[serde(default = "default_connections")]
     pub connections: u32,
-    /// Whether it is leaving: it ends what it has and gets nothing new.
+    /// Whether the target is draining: it finishes existing flows and requests and receives no new ones.
     #[serde(default)]
     pub leaving: bool,
 }
 
-/// Something callers can reach under an address of its own.
+/// A service that callers reach at its own address.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
     /// Unique name.
     pub name: String,
-    /// How callers speak to it.
+    /// Protocol between callers and the service.
     pub protocol: Protocol,
-    /// The address callers use; unique among the services of the same transport.
+    /// Address that callers use; unique among the services of the same transport (UDP or TCP).
     pub address: SocketAddr,
-    /// Name of the group that serves it.
+    /// Name of the target group that serves it.
     pub target_group: String,
-    /// Who goes first when not all can be served.
+    /// Priority when capacity does not suffice for all requests.
     #[serde(default)]
     pub class: Class,
-    /// Slots that its callers need at the busiest time; zero when unknown.
+    /// Slots needed at peak load; zero if unknown.
     #[serde(default)]
     pub peak_slots: u32,
-    /// Longest time a request may take when its caller sets no deadline, in milliseconds.
+    /// Default timeout of a request whose caller sets no deadline, in milliseconds.
     #[serde(default = "default_timeout_ms")]
     pub timeout_ms: u64,
-    /// Time without a packet after which a datagram flow is forgotten, in milliseconds.
+    /// Idle timeout of a datagram flow, in milliseconds.
     #[serde(default = "default_idle_ms")]
     pub idle_ms: u64,
 }
 
-/// Priority of a service's callers; an earlier one goes first.
+/// Priority class of a service, from highest to lowest.
 #[derive(
     Clone,
     Copy,
@@ -138,12 +139,12 @@
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
 pub enum Class {
-    /// Every failure domain has to carry it alone.
+    /// Served first; each failure domain must have the capacity to serve it alone.
     Critical,
-    /// Goes after critical work.
+    /// Served after [`Class::Critical`].
     #[default]
     Normal,
-    /// Takes only what is free.
+    /// Uses only free capacity.
     Bulk,
 }
 
@@ -162,7 +163,7 @@
         ids::target_id(group, &self.name, self.address)
     }
 
-    /// Returns where the target answers health checks.
+    /// Returns the address that answers the target's health checks.
     #[must_use]
     pub fn health_address(&self) -> SocketAddr {
         self.health.unwrap_or(self.address)
--- a/crates/model/src/verdict.rs
+++ b/crates/model/src/verdict.rs
@@ -1,4 +1,4 @@
-//! What is known of a request that has failed.
+//! Whether a failed request may have run.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,20 +6,20 @@
 use strum::EnumString;
 use strum::IntoStaticStr;
 
-/// Says whether a request may have run at a target.
+/// Whether a request may have run at a target.
 ///
-/// Every error between a caller and a target carries one. The order is that of knowledge lost: when two parts of a
-/// request's way report different verdicts, the greater one holds.
+/// Every error between a caller and a target carries a verdict. When two components on the path of a request report
+/// different verdicts, the greater one in the order of the variants applies.
 #[derive(
     Clone, Copy, Debug, Deserialize, Display, EnumString, Eq, IntoStaticStr, Ord, PartialEq, PartialOrd, Serialize,
 )]
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
 pub enum Verdict {
-    /// No target has run the request and none will; it may be sent again.
+    /// No target has run the request and none will; it is safe to retry.
     NotRun,
-    /// A target may have run the request, or may still do so.
+    /// A target may have run the request, or may still run it.
     MayHaveRun,
-    /// A target ran the request and its whole answer is at hand.
+    /// A target has run the request and its complete answer is available.
     Answered,
 }
--- a/crates/model/tests/check.rs
+++ b/crates/model/tests/check.rs
@@ -1,15 +1,15 @@
-//! The check of a whole set, and what may follow what.
+//! Validation of sets and of the transition from one set to the next.
 
 use std::path::Path;
 
 use hawthornshift_model::CheckedSet;
-use hawthornshift_model::Fault;
+use hawthornshift_model::Diagnostic;
 use hawthornshift_model::PublishedSet;
 use hawthornshift_model::Severity;
 use hawthornshift_model::check::CheckError;
 use hawthornshift_model::check::MAX_SET_BYTES;
 use hawthornshift_model::check::check;
-use hawthornshift_model::diff::check_succession;
+use hawthornshift_model::diff::check_successor;
 use hawthornshift_model::diff::diff;
 
 fn example(name: &str) -> PublishedSet {
@@ -17,75 +17,86 @@
     serde_json::from_slice(&std::fs::read(path).unwrap()).unwrap()
 }
 
-fn faults(change: impl FnOnce(&mut PublishedSet)) -> Vec<Fault> {
+fn diagnostics(change: impl FnOnce(&mut PublishedSet)) -> Vec<Diagnostic> {
     let mut set = example("levadura.json");
     change(&mut set);
     check(&set)
 }
 
 #[track_caller]
-fn assert_one_error(faults: &[Fault], object: &str, field: &str) {
-    let errors: Vec<_> = faults.iter().filter(|fault| fault.severity == Severity::Error).collect();
-    assert!(errors.iter().any(|fault| fault.object.contains(object) && fault.field == field), "{faults:?}");
+fn assert_has_error(diagnostics: &[Diagnostic], object: &str, field: &str) {
+    let errors: Vec<_> = diagnostics.iter().filter(|diagnostic| diagnostic.severity == Severity::Error).collect();
+    assert!(
+        errors.iter().any(|diagnostic| diagnostic.object.contains(object) && diagnostic.field == field),
+        "{diagnostics:?}"
+    );
 }
 
 #[test]
-fn the_example_sets_are_accepted_without_a_warning() {
+fn example_sets_have_no_diagnostics() {
     for name in ["levadura.json", "togoo.json"] {
         assert_eq!(check(&example(name)), [], "{name}");
     }
 }
 
-/// An operator publishes a set with several mistakes. All are named at once, each with its object, and none of the
-/// set takes effect.
+/// Guards against a check that stops at the first error: an operator publishes a set with several mistakes. The check
+/// reports all of them with their objects and refuses the whole set.
 #[test]
-fn every_fault_of_a_broken_set_is_named() {
-    let faults = check(&example("broken.json"));
-    assert_eq!(faults.iter().filter(|fault| fault.severity == Severity::Error).count(), 5, "{faults:?}");
+fn all_errors_of_an_invalid_set_are_reported() {
+    let diagnostics = check(&example("broken.json"));
+    assert_eq!(
+        diagnostics.iter().filter(|diagnostic| diagnostic.severity == Severity::Error).count(),
+        5,
+        "{diagnostics:?}"
+    );
     assert!(CheckedSet::new(example("broken.json")).is_err());
 }
 
 #[test]
 fn dangling_and_duplicate_names_are_refused() {
-    assert_one_error(&faults(|set| set.services[0].target_group = "nobody".into()), "suscripciones", "target_group");
-    let found = faults(|set| set.target_groups[0].targets[0].failure_domain = "nowhere".into());
-    assert_one_error(&found, "suscripciones-1", "failure_domain");
-    assert_one_error(&faults(|set| set.services[1].name = "suscripciones".into()), "suscripciones", "name");
-    assert_one_error(&faults(|set| set.failure_domains[1].name = "norte".into()), "norte", "name");
+    assert_has_error(
+        &diagnostics(|set| set.services[0].target_group = "nobody".into()),
+        "suscripciones",
+        "target_group",
+    );
+    let found = diagnostics(|set| set.target_groups[0].targets[0].failure_domain = "nowhere".into());
+    assert_has_error(&found, "suscripciones-1", "failure_domain");
+    assert_has_error(&diagnostics(|set| set.services[1].name = "suscripciones".into()), "suscripciones", "name");
+    assert_has_error(&diagnostics(|set| set.failure_domains[1].name = "norte".into()), "norte", "name");
 }
 
 #[test]
-fn addresses_that_clash_or_cannot_be_sent_to_are_refused() {
-    let found = faults(|set| set.services[1].address = set.services[0].address);
-    assert_one_error(&found, "guias", "address");
-    let found = faults(|set| set.target_groups[1].targets[0].address = set.target_groups[0].targets[0].address);
-    assert_one_error(&found, "guias-1", "address");
-    let found = faults(|set| set.target_groups[0].targets[0].address = set.services[0].address);
-    assert_one_error(&found, "suscripciones-1", "address");
-    let found = faults(|set| set.services[0].address = "0.0.0.0:80".parse().unwrap());
-    assert_one_error(&found, "suscripciones", "address");
+fn duplicate_and_unusable_addresses_are_refused() {
+    let found = diagnostics(|set| set.services[1].address = set.services[0].address);
+    assert_has_error(&found, "guias", "address");
+    let found = diagnostics(|set| set.target_groups[1].targets[0].address = set.target_groups[0].targets[0].address);
+    assert_has_error(&found, "guias-1", "address");
+    let found = diagnostics(|set| set.target_groups[0].targets[0].address = set.services[0].address);
+    assert_has_error(&found, "suscripciones-1", "address");
+    let found = diagnostics(|set| set.services[0].address = "0.0.0.0:80".parse().unwrap());
+    assert_has_error(&found, "suscripciones", "address");
 }
 
 #[test]
-fn limits_and_classes_that_contradict_are_refused() {
-    assert_one_error(&faults(|set| set.target_groups[0].targets.clear()), "suscripciones", "targets");
-    assert_one_error(&faults(|set| set.target_groups[0].targets[0].slots = 0), "suscripciones-1", "slots");
-    assert_one_error(&faults(|set| set.services[0].peak_slots = 0), "suscripciones", "peak_slots");
-    assert_one_error(&faults(|set| set.services[0].timeout_ms = 0), "suscripciones", "timeout_ms");
-    assert_one_error(&faults(|set| set.revision = 0), "set", "revision");
+fn invalid_limits_and_class_conflicts_are_refused() {
+    assert_has_error(&diagnostics(|set| set.target_groups[0].targets.clear()), "suscripciones", "targets");
+    assert_has_error(&diagnostics(|set| set.target_groups[0].targets[0].slots = 0), "suscripciones-1", "slots");
+    assert_has_error(&diagnostics(|set| set.services[0].peak_slots = 0), "suscripciones", "peak_slots");
+    assert_has_error(&diagnostics(|set| set.services[0].timeout_ms = 0), "suscripciones", "timeout_ms");
+    assert_has_error(&diagnostics(|set| set.revision = 0), "set", "revision");
 }
 
-/// One failure domain has too few targets to carry the counters alone. It would be noticed only when the others are
-/// gone, so the set is refused; for a service that is not critical it is a warning.
+/// Guards against accepting a failure domain with too few slots to serve critical services alone: the shortage would
+/// only show when the other domains have failed, so the set is refused. For other services it is a warning.
 #[test]
-fn a_domain_that_cannot_carry_critical_traffic_alone_is_refused() {
-    assert_one_error(&faults(|set| set.services[0].peak_slots = 7), "suscripciones", "targets");
-    let found = faults(|set| set.services[1].peak_slots = 3);
-    assert!(found.iter().all(|fault| fault.severity == Severity::Warning) && !found.is_empty(), "{found:?}");
+fn domain_without_capacity_for_critical_services_is_refused() {
+    assert_has_error(&diagnostics(|set| set.services[0].peak_slots = 7), "suscripciones", "targets");
+    let found = diagnostics(|set| set.services[1].peak_slots = 3);
+    assert!(found.iter().all(|diagnostic| diagnostic.severity == Severity::Warning) && !found.is_empty(), "{found:?}");
 }
 
 #[test]
-fn text_that_is_no_set_is_refused_with_a_reason() {
+fn malformed_oversized_and_unknown_fields_are_refused() {
     assert!(matches!(CheckedSet::from_json(b"{"), Err(CheckError::Unreadable(_))));
     assert!(matches!(CheckedSet::from_json(&vec![b' '; MAX_SET_BYTES + 1]), Err(CheckError::TooLarge(_))));
     let mut value = serde_json::to_value(example("levadura.json")).unwrap();
@@ -95,14 +106,14 @@
 }
 
 #[test]
-fn a_service_keeps_its_identity_and_revisions_rise() {
+fn service_identity_is_fixed_and_revisions_increase() {
     let old = example("levadura.json");
     let mut new = old.clone();
-    assert_eq!(check_succession(&old, &new).len(), 1);
+    assert_eq!(check_successor(&old, &new).len(), 1);
     new.revision += 1;
-    assert_eq!(check_succession(&old, &new), []);
+    assert_eq!(check_successor(&old, &new), []);
     new.services[0].address = "10.40.0.9:80".parse().unwrap();
-    assert_eq!(check_succession(&old, &new).len(), 1);
+    assert_eq!(check_successor(&old, &new).len(), 1);
     assert_eq!(diff(&old, &new).len(), 1);
     new.services.remove(1);
     assert_eq!(diff(&old, &new).len(), 2);
