--- a/crates/cli/src/demo/mod.rs
+++ b/crates/cli/src/demo/mod.rs
@@ -6,7 +6,7 @@
 mod datagram_callers;
 mod report;
 mod request_callers;
-mod script;
+mod scenario;
 mod stream_callers;
 mod tally;
 mod world;
@@ -28,7 +28,7 @@
             return Exit::Bad;
         }
     };
-    let report = runtime.block_on(script::play(Duration::from_secs(seconds), seed));
+    let report = runtime.block_on(scenario::play(Duration::from_secs(seconds), seed));
     let exit = match report {
         Ok(report) => {
             report.print(json);
