--- a/crates/cli/src/ctl/mod.rs
+++ b/crates/cli/src/ctl/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' tool.
+//! The operators' command-line tool `hawthornshiftctl`.
 
 mod output;
 mod remote;
@@ -11,22 +11,22 @@
 use crate::demo;
 use crate::exit::Exit;
 
-/// Overview of the commands.
-const BRIEF: &str = "Usage: hawthornshiftctl COMMAND [OPTIONS]
+/// Usage text with the list of commands.
+const USAGE: &str = "Usage: hawthornshiftctl COMMAND [OPTIONS]
 
 Commands:
-  check FILE          check a set whole and list every fault
-  diff OLD NEW        list what changes, and whether NEW may follow OLD
+  check FILE          validate a set and list all problems
+  diff OLD NEW        list the changes, and whether NEW may replace OLD
   dump ADDRESS        show an instance's state (ADDRESS is its admin IP:PORT)
-  status ADDRESS...   show instances in one table
-  demo                run the whole system on loopback with failures, and report
+  status ADDRESS...   show a table of instances
+  demo                run the whole system on loopback with failures and print a report
 
-Exit codes: 0 good, 1 refused or not good, 2 usage.";
+Exit codes: 0 success, 1 refused or failed, 2 usage error.";
 
-/// Default length of the demo in seconds.
+/// Default duration of the demo in seconds.
 const DEMO_SECONDS: u64 = 40;
 
-/// Runs one command.
+/// Runs one command and returns the exit code.
 #[must_use]
 pub fn run_ctl(args: &[String]) -> Exit {
     let options = options();
@@ -35,7 +35,7 @@
         Err(fail) => return usage_error(&fail.to_string()),
     };
     if matches.opt_present("help") {
-        print!("{}", options.usage(BRIEF));
+        print!("{}", options.usage(USAGE));
         return Exit::Good;
     }
     if matches.opt_present("version") {
@@ -49,8 +49,8 @@
     let mut options = Options::new();
     options.optflag("", "json", "print one JSON object instead of text");
     options.optopt("", "token", "admin token (or HAWTHORNSHIFT_ADMIN_TOKEN)", "TOKEN");
-    options.optopt("", "seconds", &format!("length of the demo (default {DEMO_SECONDS})"), "N");
-    options.optopt("", "seed", "seed of the demo's random choices (default 1)", "N");
+    options.optopt("", "seconds", &format!("duration of the demo (default {DEMO_SECONDS})"), "N");
+    options.optopt("", "seed", "seed of the demo's random number generators (default 1)", "N");
     options.optflag("h", "help", "show this text");
     options.optflag("V", "version", "show the version");
     options
@@ -58,8 +58,8 @@
 
 fn run_command(matches: &Matches) -> Exit {
     let output = Output::new(matches.opt_present("json"));
-    let words: Vec<&str> = matches.free.iter().map(String::as_str).collect();
-    match words[..] {
+    let arguments: Vec<&str> = matches.free.iter().map(String::as_str).collect();
+    match arguments[..] {
         ["check", file] => sets::check(output, file),
         ["diff", old, new] => sets::diff(output, old, new),
         ["dump", address] => remote::dump(address, token(matches)),
@@ -67,8 +67,8 @@
             remote::status(output, addresses, token(matches).as_deref())
         }
         ["demo"] => run_demo(matches, output),
-        [] => usage_error("a command is missing"),
-        [command, ..] => usage_error(&format!("{command:?} is no command, or its arguments are wrong")),
+        [] => usage_error("no command given"),
+        [command, ..] => usage_error(&format!("unknown command {command:?}, or invalid arguments")),
     }
 }
 
--- a/crates/cli/src/ctl/output.rs
+++ b/crates/cli/src/ctl/output.rs
@@ -1,8 +1,8 @@
-//! Text for people or JSON for programs.
+//! Output of results as text or JSON.
 
 use serde::Serialize;
 
-/// How results are printed.
+/// Output format of results.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Output {
     json: bool,
@@ -17,7 +17,7 @@
         self.json
     }
 
-    /// Prints a result as JSON, or calls `text` to print it for people.
+    /// Prints a result as JSON, or calls `text` to print it as text.
     pub(super) fn print<T: Serialize>(self, result: &T, text: impl FnOnce(&T)) {
         if self.json {
             println!("{}", serde_json::to_string(result).unwrap_or_default());
--- a/crates/cli/src/ctl/remote.rs
+++ b/crates/cli/src/ctl/remote.rs
@@ -1,4 +1,4 @@
-//! Commands that ask running instances.
+//! Commands that query running instances.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,33 +15,33 @@
 use hawthornshift_adapters::http_client::Call;
 use hawthornshift_adapters::http_client::ExchangeError;
 
-/// Longest time an instance may take to answer.
-const TIMEOUT: Duration = Duration::from_secs(3);
-/// Most bytes of a state dump.
-const LIMIT: usize = 16 << 20;
+/// Timeout of a request to an instance.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
+/// Maximum size of a state dump in bytes.
+const MAX_DUMP_BYTES: usize = 16 << 20;
 
-/// An instance that gave no state.
+/// Reason why an instance's state is unavailable.
 #[derive(Debug, Error)]
 enum RemoteError {
-    #[error("{0:?} is not an IP number and port")]
-    Address(String),
-    #[error("the token cannot be sent in a header")]
-    Token,
+    #[error("{0:?} is not an IP address and port")]
+    InvalidAddress(String),
+    #[error("the token is not a valid header value")]
+    InvalidToken,
     #[error(transparent)]
     Exchange(#[from] ExchangeError),
-    #[error("the instance answered {0}")]
+    #[error("the instance returned HTTP status {0}")]
     Status(StatusCode),
-    #[error("the state cannot be read: {0}")]
-    Unreadable(#[from] serde_json::Error),
-    #[error("cannot start: {0}")]
+    #[error("cannot parse the state dump: {0}")]
+    Malformed(#[from] serde_json::Error),
+    #[error("cannot create the Tokio runtime: {0}")]
     Runtime(#[from] std::io::Error),
 }
 
 fn fetch(address: &str, token: Option<&str>) -> Result<Value, RemoteError> {
-    let address: SocketAddr = address.parse().map_err(|_| RemoteError::Address(address.to_owned()))?;
-    let mut call = Call::get(address, "/v1/dump", TIMEOUT, LIMIT);
+    let address: SocketAddr = address.parse().map_err(|_| RemoteError::InvalidAddress(address.to_owned()))?;
+    let mut call = Call::get(address, "/v1/dump", REQUEST_TIMEOUT, MAX_DUMP_BYTES);
     if let Some(token) = token {
-        let value = HeaderValue::from_str(&format!("Bearer {token}")).map_err(|_| RemoteError::Token)?;
+        let value = HeaderValue::from_str(&format!("Bearer {token}")).map_err(|_| RemoteError::InvalidToken)?;
         call.headers.insert(AUTHORIZATION, value);
     }
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
@@ -52,23 +52,23 @@
     Ok(serde_json::from_slice(&response.body)?)
 }
 
-fn report(address: &str, error: &RemoteError) -> Exit {
+fn report_error(address: &str, error: &RemoteError) -> Exit {
     eprintln!("{address}: {error}");
-    if matches!(error, RemoteError::Address(_) | RemoteError::Token) { Exit::Usage } else { Exit::Bad }
+    if matches!(error, RemoteError::InvalidAddress(_) | RemoteError::InvalidToken) { Exit::Usage } else { Exit::Bad }
 }
 
-#[expect(clippy::needless_pass_by_value, reason = "the token ends with the command")]
+#[expect(clippy::needless_pass_by_value, reason = "the command is the last user of the token")]
 pub(super) fn dump(address: &str, token: Option<String>) -> Exit {
     match fetch(address, token.as_deref()) {
         Ok(dump) => {
             println!("{}", serde_json::to_string_pretty(&dump).unwrap_or_default());
             Exit::Good
         }
-        Err(error) => report(address, &error),
+        Err(error) => report_error(address, &error),
     }
 }
 
-/// One line of the table of instances.
+/// Status of one instance: one row of the table.
 #[derive(Debug, Serialize)]
 #[serde(deny_unknown_fields)]
 struct StatusLine {
@@ -88,8 +88,8 @@
 pub(super) fn status(output: Output, addresses: &[&str], token: Option<&str>) -> Exit {
     let lines: Vec<StatusLine> = addresses.iter().map(|address| status_line(address, token)).collect();
     output.print(&lines, |lines| print_status(lines));
-    let good = lines.iter().all(|line| line.error.is_none() && line.breaches == 0);
-    if good { Exit::Good } else { Exit::Bad }
+    let all_good = lines.iter().all(|line| line.error.is_none() && line.breaches == 0);
+    if all_good { Exit::Good } else { Exit::Bad }
 }
 
 fn status_line(address: &str, token: Option<&str>) -> StatusLine {
--- a/crates/cli/src/ctl/sets.rs
+++ b/crates/cli/src/ctl/sets.rs
@@ -1,4 +1,4 @@
-//! Commands on published sets.
+//! Commands that check and compare sets.
 
 use serde::Serialize;
 
@@ -12,25 +12,27 @@
 use hawthornshift_model::diff::check_successor;
 use hawthornshift_model::diff::diff as changes_between;
 
-/// The result of a check.
+/// Result of the `check` command.
 #[derive(Debug, Serialize)]
 #[serde(deny_unknown_fields)]
 struct CheckReport {
     accepted: bool,
     #[serde(skip_serializing_if = "Option::is_none")]
     error: Option<String>,
-    faults: Vec<Diagnostic>,
+    #[serde(rename = "faults")]
+    diagnostics: Vec<Diagnostic>,
 }
 
-/// The result of a comparison.
+/// Result of the `diff` command.
 #[derive(Debug, Serialize)]
 #[serde(deny_unknown_fields)]
 struct DiffReport {
     changes: Vec<Change>,
-    faults: Vec<Diagnostic>,
+    #[serde(rename = "faults")]
+    diagnostics: Vec<Diagnostic>,
 }
 
-/// Why a file gave no set.
+/// Reason why a set could not be loaded from a file.
 enum LoadError {
     File(std::io::Error),
     Set(CheckError),
@@ -43,18 +45,20 @@
 
 pub(super) fn check(output: Output, file: &str) -> Exit {
     let report = match load(file) {
-        Ok(set) => CheckReport { accepted: true, error: None, faults: set.warnings().to_vec() },
-        Err(LoadError::File(error)) => return cannot_read(file, &error),
-        Err(LoadError::Set(CheckError::Invalid(faults))) => CheckReport { accepted: false, error: None, faults },
+        Ok(set) => CheckReport { accepted: true, error: None, diagnostics: set.warnings().to_vec() },
+        Err(LoadError::File(error)) => return report_io_error(file, &error),
+        Err(LoadError::Set(CheckError::Invalid(diagnostics))) => {
+            CheckReport { accepted: false, error: None, diagnostics }
+        }
         Err(LoadError::Set(error)) => {
-            CheckReport { accepted: false, error: Some(error.to_string()), faults: Vec::new() }
+            CheckReport { accepted: false, error: Some(error.to_string()), diagnostics: Vec::new() }
         }
     };
     output.print(&report, |report| print_check(file, report));
     if report.accepted { Exit::Good } else { Exit::Bad }
 }
 
-fn cannot_read(file: &str, error: &std::io::Error) -> Exit {
+fn report_io_error(file: &str, error: &std::io::Error) -> Exit {
     eprintln!("{file}: {error}");
     Exit::Usage
 }
@@ -63,30 +67,32 @@
     if let Some(error) = &report.error {
         println!("{file}: {error}");
     }
-    for fault in &report.faults {
-        println!("{fault}");
+    for diagnostic in &report.diagnostics {
+        println!("{diagnostic}");
     }
-    let errors = report.faults.iter().filter(|fault| fault.severity == Severity::Error).count();
-    let warnings = report.faults.len() - errors;
-    let verdict = if report.accepted { "accepted" } else { "refused" };
-    println!("{file}: {verdict}, {errors} errors, {warnings} warnings");
+    let errors = report.diagnostics.iter().filter(|diagnostic| diagnostic.severity == Severity::Error).count();
+    let warnings = report.diagnostics.len() - errors;
+    let outcome = if report.accepted { "accepted" } else { "refused" };
+    println!("{file}: {outcome}, {errors} errors, {warnings} warnings");
 }
 
 pub(super) fn diff(output: Output, old: &str, new: &str) -> Exit {
     let (old, new) = match (load(old), load(new)) {
         (Ok(old), Ok(new)) => (old, new),
-        (Err(error), _) => return explain(old, error),
-        (_, Err(error)) => return explain(new, error),
+        (Err(error), _) => return report_load_error(old, error),
+        (_, Err(error)) => return report_load_error(new, error),
+    };
+    let report = DiffReport {
+        changes: changes_between(old.set(), new.set()),
+        diagnostics: check_successor(old.set(), new.set()),
     };
-    let report =
-        DiffReport { changes: changes_between(old.set(), new.set()), faults: check_successor(old.set(), new.set()) };
     output.print(&report, print_diff);
-    if report.faults.is_empty() { Exit::Good } else { Exit::Bad }
+    if report.diagnostics.is_empty() { Exit::Good } else { Exit::Bad }
 }
 
-fn explain(file: &str, error: LoadError) -> Exit {
+fn report_load_error(file: &str, error: LoadError) -> Exit {
     match error {
-        LoadError::File(error) => cannot_read(file, &error),
+        LoadError::File(error) => report_io_error(file, &error),
         LoadError::Set(error) => {
             eprintln!("{file}: {error}");
             Exit::Bad
@@ -98,8 +104,8 @@
     for change in &report.changes {
         println!("{change}");
     }
-    for fault in &report.faults {
-        println!("{fault}");
+    for diagnostic in &report.diagnostics {
+        println!("{diagnostic}");
     }
-    println!("{} changes, {} faults", report.changes.len(), report.faults.len());
+    println!("{} changes, {} faults", report.changes.len(), report.diagnostics.len());
 }
--- a/crates/cli/src/demo/world.rs
+++ b/crates/cli/src/demo/cluster.rs
@@ -1,4 +1,4 @@
-//! The world of the demo: a platform, targets, instances, and a fabric that hands any packet to any instance.
+//! The demo's cluster: a platform, targets, instances, and a fabric that delivers each packet to a random instance.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -36,21 +36,21 @@
 use hawthornshift_standins::Target;
 use hawthornshift_standins::TargetKind;
 
-/// The failure domains.
+/// Names of the failure domains.
 pub(super) const DOMAINS: [&str; 4] = ["norte", "sur", "este", "oeste"];
-/// Instances at the start.
+/// Number of instances at the start.
 pub(super) const INSTANCES: InstanceId = 8;
-/// Slots of a target.
-const SLOTS: u32 = 2;
-/// Flows of a target.
-const CONNECTIONS: u32 = 2_000;
-/// Time that a warm target takes for a request.
-const WORK: Duration = Duration::from_millis(10);
-/// Time by which the fabric learns late that an instance has stopped taking new work.
-const FABRIC_LAG: Duration = Duration::from_millis(200);
+/// Slots (concurrent requests) of each target.
+const SLOTS_PER_TARGET: u32 = 2;
+/// Maximum number of concurrent flows of each target.
+const CONNECTIONS_PER_TARGET: u32 = 2_000;
+/// Time that a warm target takes to serve a request.
+const SERVICE_TIME: Duration = Duration::from_millis(10);
+/// Delay until the fabric stops sending packets to an instance that is shutting down.
+const FABRIC_UPDATE_DELAY: Duration = Duration::from_millis(200);
 
-/// A service of the demo: name, protocol, class, targets and slots needed at the busiest time.
-pub(super) struct ServicePlan {
+/// Definition of a service: name, protocol, class, number of targets and slots needed at peak load.
+pub(super) struct ServiceDefinition {
     pub(super) name: &'static str,
     protocol: Protocol,
     kind: TargetKind,
@@ -59,9 +59,9 @@
     peak_slots: u32,
 }
 
-/// The services: the two of a bakery's storefront, and one of each other protocol.
-pub(super) const SERVICES: [ServicePlan; 4] = [
-    ServicePlan {
+/// The services: two HTTP services of a bakery's storefront, one datagram and one stream service.
+pub(super) const SERVICES: [ServiceDefinition; 4] = [
+    ServiceDefinition {
         name: "suscripciones",
         protocol: Protocol::Http,
         kind: TargetKind::Http,
@@ -69,7 +69,7 @@
         targets: 14,
         peak_slots: 6,
     },
-    ServicePlan {
+    ServiceDefinition {
         name: "guias",
         protocol: Protocol::Http,
         kind: TargetKind::Http,
@@ -77,7 +77,7 @@
         targets: 4,
         peak_slots: 2,
     },
-    ServicePlan {
+    ServiceDefinition {
         name: "avisos",
         protocol: Protocol::Datagram,
         kind: TargetKind::Datagram,
@@ -85,7 +85,7 @@
         targets: 8,
         peak_slots: 0,
     },
-    ServicePlan {
+    ServiceDefinition {
         name: "fotos",
         protocol: Protocol::Stream,
         kind: TargetKind::Stream,
@@ -95,31 +95,31 @@
     },
 ];
 
-/// A world that could not be built.
+/// Error while building or changing the cluster.
 #[derive(Debug, Error)]
-pub(super) enum WorldError {
+pub(super) enum ClusterError {
     /// A socket could not be opened.
     #[error(transparent)]
     Socket(#[from] io::Error),
     /// An instance could not start.
     #[error(transparent)]
     Start(#[from] StartError),
-    /// The demo's own set does not pass the check.
+    /// The demo's own set fails validation.
     #[error("the set is refused: {0}")]
     Set(#[from] hawthornshift_model::check::CheckError),
-    /// The set cannot be written.
+    /// A set or instance list cannot be serialized.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
 }
 
-/// The instances that the fabric hands packets to.
+/// The network in front of the instances; holds the instances that it sends packets to.
 #[derive(Debug, Default)]
 pub(super) struct Fabric {
     members: RwLock<Vec<IpAddr>>,
 }
 
 impl Fabric {
-    /// Picks an instance for the next packet.
+    /// Returns the address of a random instance for the next packet, connection or request.
     pub(super) fn pick(&self, rng: &mut impl Rng) -> IpAddr {
         let members = self.members.read().unwrap_or_else(PoisonError::into_inner);
         members[rng.random_range(0..members.len())]
@@ -134,18 +134,18 @@
     }
 }
 
-/// Everything that runs in the demo.
-pub(super) struct World {
+/// All running components of the demo.
+pub(super) struct Cluster {
     pub(super) platform: Platform,
     pub(super) fabric: Arc<Fabric>,
     pub(super) set: PublishedSet,
     pub(super) targets: BTreeMap<&'static str, Vec<Target>>,
     pub(super) instances: BTreeMap<InstanceId, Instance<Serving>>,
     list_version: u64,
-    started: Instant,
+    start: Instant,
 }
 
-/// Returns the address of an instance on loopback.
+/// Returns the loopback address of an instance.
 pub(super) fn instance_ip(id: InstanceId) -> IpAddr {
     let last = u8::try_from(id).unwrap_or(u8::MAX);
     IpAddr::V4(Ipv4Addr::new(127, 9, 0, last))
@@ -160,42 +160,42 @@
     DOMAINS[usize::try_from(id).unwrap_or(0) % DOMAINS.len()]
 }
 
-impl World {
-    /// Starts a platform, targets and instances.
-    pub(super) async fn build(stop: CancellationToken) -> Result<Self, WorldError> {
+impl Cluster {
+    /// Starts the platform, targets and instances.
+    pub(super) async fn build(stop: CancellationToken) -> Result<Self, ClusterError> {
         let platform = Platform::start((Ipv4Addr::LOCALHOST, 0).into(), stop).await?;
         let mut targets = BTreeMap::new();
-        for plan in &SERVICES {
-            targets.insert(plan.name, start_targets(plan).await?);
+        for definition in &SERVICES {
+            targets.insert(definition.name, start_targets(definition).await?);
         }
         let mut set = PublishedSet {
             revision: 0,
-            failure_domains: DOMAINS.map(domain_object).to_vec(),
+            failure_domains: DOMAINS.map(build_domain).to_vec(),
             target_groups: Vec::new(),
             services: Vec::new(),
         };
-        for plan in &SERVICES {
-            set.target_groups.push(group_object(plan, &targets[plan.name]));
-            set.services.push(service_object(plan)?);
+        for definition in &SERVICES {
+            set.target_groups.push(build_group(definition, &targets[definition.name]));
+            set.services.push(build_service(definition)?);
         }
-        let mut world = Self {
+        let mut cluster = Self {
             platform,
             fabric: Arc::default(),
             set,
             targets,
             instances: BTreeMap::new(),
             list_version: 0,
-            started: Instant::now(),
+            start: Instant::now(),
         };
-        world.publish()?;
+        cluster.publish()?;
         for id in 0..INSTANCES {
-            world.start_instance(id).await?;
+            cluster.start_instance(id).await?;
         }
-        Ok(world)
+        Ok(cluster)
     }
 
-    /// Publishes the set under the next revision, after the same check that instances make.
-    pub(super) fn publish(&mut self) -> Result<(), WorldError> {
+    /// Publishes the set with the next revision, after the same validation that instances perform.
+    pub(super) fn publish(&mut self) -> Result<(), ClusterError> {
         self.set.revision += 1;
         let text = serde_json::to_string(&self.set)?;
         hawthornshift_model::CheckedSet::from_json(text.as_bytes())?;
@@ -203,13 +203,13 @@
         Ok(())
     }
 
-    /// Starts an instance, puts it on the platform's list and has the fabric use it.
-    pub(super) async fn start_instance(&mut self, id: InstanceId) -> Result<(), WorldError> {
+    /// Starts an instance, and adds it to the platform's instance list and to the fabric.
+    pub(super) async fn start_instance(&mut self, id: InstanceId) -> Result<(), ClusterError> {
         let ip = instance_ip(id);
         let any_port = SocketAddr::new(ip, 0);
         let addresses = Addresses { control: any_port, forward: any_port, admin: any_port };
-        // Lives are told apart by their start, in microseconds here so that a quick restart differs.
-        let incarnation = u64::try_from(self.started.elapsed().as_micros()).unwrap_or(u64::MAX) + 1;
+        // The incarnation is the start time, here in microseconds so that it differs even after a quick restart.
+        let incarnation = u64::try_from(self.start.elapsed().as_micros()).unwrap_or(u64::MAX) + 1;
         let domain = domain_of_instance(id).to_owned();
         let config = Config::new(id, incarnation, domain, addresses, self.platform.address(), logs::silent());
         let instance = Instance::new(config.listen(Some(ip))).start().await?;
@@ -219,8 +219,8 @@
         Ok(())
     }
 
-    /// Publishes the list of instances.
-    fn list_instances(&mut self) -> Result<(), WorldError> {
+    /// Publishes the instance list with the next version.
+    fn list_instances(&mut self) -> Result<(), ClusterError> {
         self.list_version += 1;
         let entry = |(id, instance): (&InstanceId, &Instance<Serving>)| ListedInstance {
             id: *id,
@@ -234,19 +234,20 @@
         Ok(())
     }
 
-    /// Stops an instance as planned; the fabric learns of it late, the platform's list later still.
-    pub(super) async fn stop_instance(&mut self, id: InstanceId) -> Result<Vec<String>, WorldError> {
+    /// Shuts an instance down gracefully and returns its invariant breaches. The fabric is updated after
+    /// [`FABRIC_UPDATE_DELAY`], the platform's instance list after the shutdown.
+    pub(super) async fn stop_instance(&mut self, id: InstanceId) -> Result<Vec<String>, ClusterError> {
         let Some(instance) = self.instances.remove(&id) else { return Ok(Vec::new()) };
         let stopping = tokio::spawn(instance.stop());
-        tokio::time::sleep(FABRIC_LAG).await;
+        tokio::time::sleep(FABRIC_UPDATE_DELAY).await;
         self.fabric.remove(instance_ip(id));
         let stopped = stopping.await.map_err(io::Error::other)?;
         self.list_instances()?;
         Ok(stopped.dump().breaches.iter().map(|breach| format!("{breach:?}")).collect())
     }
 
-    /// Changes whether a failure domain is in service, and publishes that.
-    pub(super) fn set_domain(&mut self, name: &str, state: DomainState) -> Result<(), WorldError> {
+    /// Sets the state of a failure domain and publishes the set.
+    pub(super) fn set_domain_state(&mut self, name: &str, state: DomainState) -> Result<(), ClusterError> {
         for domain in self.set.failure_domains.iter_mut().filter(|domain| domain.name == name) {
             domain.state = state;
         }
@@ -264,69 +265,69 @@
         self.targets.values().flatten().filter(|target| target.address().ip() == ip).cloned().collect()
     }
 
-    /// Returns the port of a service.
+    /// Returns the port of a service, or 0 if it is unknown.
     pub(super) fn port(&self, service: &str) -> u16 {
         let service = self.set.services.iter().find(|object| object.name == service);
         service.map_or(0, |service| service.address.port())
     }
 
-    /// Tells whether every instance has the published set in force.
+    /// Returns whether all instances have applied the published set.
     pub(super) fn has_converged(&self) -> bool {
-        let current = |instance: &Instance<Serving>| instance.dump().configuration.revision >= self.set.revision;
-        self.instances.values().all(current)
+        let is_current = |instance: &Instance<Serving>| instance.dump().configuration.revision >= self.set.revision;
+        self.instances.values().all(is_current)
     }
 }
 
-async fn start_targets(plan: &ServicePlan) -> io::Result<Vec<Target>> {
+async fn start_targets(definition: &ServiceDefinition) -> io::Result<Vec<Target>> {
     let mut targets = Vec::new();
-    for number in 0..plan.targets {
-        let name = format!("{}-{number}", plan.name);
+    for number in 0..definition.targets {
+        let name = format!("{}-{number}", definition.name);
         let ip = target_ip(number % DOMAINS.len());
-        targets.push(Target::start(plan.kind, &name, plan.name, ip, SLOTS, WORK).await?);
+        targets.push(Target::start(definition.kind, &name, definition.name, ip, SLOTS_PER_TARGET, SERVICE_TIME).await?);
     }
     Ok(targets)
 }
 
-fn domain_object(name: &str) -> FailureDomain {
+fn build_domain(name: &str) -> FailureDomain {
     FailureDomain { name: name.to_owned(), region: "guadalajara".to_owned(), state: DomainState::InService }
 }
 
-fn group_object(plan: &ServicePlan, targets: &[Target]) -> TargetGroup {
+fn build_group(definition: &ServiceDefinition, targets: &[Target]) -> TargetGroup {
     let object = |(number, target): (usize, &Target)| TargetObject {
         name: target.name().to_owned(),
         failure_domain: DOMAINS[number % DOMAINS.len()].to_owned(),
         address: target.address(),
         health: Some(target.health()),
-        slots: SLOTS,
-        connections: CONNECTIONS,
+        slots: SLOTS_PER_TARGET,
+        connections: CONNECTIONS_PER_TARGET,
         leaving: false,
     };
-    TargetGroup { name: plan.name.to_owned(), targets: targets.iter().enumerate().map(object).collect() }
+    TargetGroup { name: definition.name.to_owned(), targets: targets.iter().enumerate().map(object).collect() }
 }
 
-fn service_object(plan: &ServicePlan) -> io::Result<Service> {
+fn build_service(definition: &ServiceDefinition) -> io::Result<Service> {
     Ok(Service {
-        name: plan.name.to_owned(),
-        protocol: plan.protocol,
+        name: definition.name.to_owned(),
+        protocol: definition.protocol,
         address: SocketAddr::new(IpAddr::V4(Ipv4Addr::new(127, 9, 2, 1)), free_port()?),
-        target_group: plan.name.to_owned(),
-        class: plan.class,
-        peak_slots: plan.peak_slots,
+        target_group: definition.name.to_owned(),
+        class: definition.class,
+        peak_slots: definition.peak_slots,
         timeout_ms: 3_000,
         idle_ms: 60_000,
     })
 }
 
-/// Returns a port that is free now on the addresses of all instances that the demo starts.
+/// Returns a port that is currently free on the addresses of all instances that the demo starts.
 fn free_port() -> io::Result<u16> {
     loop {
         let probe = std::net::TcpListener::bind(SocketAddr::new(instance_ip(0), 0))?;
         let port = probe.local_addr()?.port();
-        let free = |id| {
+        let is_free = |id| {
             let address = SocketAddr::new(instance_ip(id), port);
             std::net::UdpSocket::bind(address).is_ok() && (id == 0 || std::net::TcpListener::bind(address).is_ok())
         };
-        if (0..=INSTANCES + 1).all(free) {
+        if (0..=INSTANCES + 1).all(is_free) {
             return Ok(port);
         }
     }
--- a/crates/cli/src/demo/tally.rs
+++ b/crates/cli/src/demo/counts.rs
@@ -1,18 +1,18 @@
-//! What callers see, counted by themselves.
+//! Counts kept by the callers, independent of the instances.
 
 use std::collections::HashMap;
 use std::sync::Mutex;
 use std::sync::MutexGuard;
 use std::sync::PoisonError;
 
-/// How an order ended, as its caller knows it.
+/// Outcome of an order as known to its caller.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) enum OrderEnd {
-    /// Answered whole.
+pub(super) enum OrderOutcome {
+    /// A target answered.
     Answered,
-    /// Refused as not run, for good.
+    /// Refused as not run, and not retried any more.
     NotRun,
-    /// Given up without knowing.
+    /// Abandoned with an unknown outcome.
     Unknown,
 }
 
@@ -21,7 +21,7 @@
 pub(super) struct Counts {
     pub(super) flows_opened: u64,
     pub(super) flows_broken: u64,
-    pub(super) flows_given_up: u64,
+    pub(super) flows_abandoned: u64,
     pub(super) packets_sent: u64,
     pub(super) packets_answered: u64,
     pub(super) requests_sent: u64,
@@ -29,19 +29,19 @@
     pub(super) refused_not_run: u64,
     pub(super) may_have_run: u64,
     pub(super) wrong_or_partial_answers: u64,
-    pub(super) tries: u64,
+    pub(super) attempts: u64,
     pub(super) latencies_ms: Vec<u64>,
-    /// Non-idempotent orders by how they ended.
-    pub(super) orders: HashMap<String, OrderEnd>,
-    /// What was seen of broken flows, for the reader of a bad report.
+    /// Outcomes of the (non-idempotent) orders by order id.
+    pub(super) orders: HashMap<String, OrderOutcome>,
+    /// Descriptions of broken flows, printed in the report.
     pub(super) remarks: Vec<String>,
 }
 
-/// Counts that callers share.
+/// Counts shared by all callers.
 #[derive(Debug, Default)]
-pub(super) struct Tally(Mutex<Counts>);
+pub(super) struct SharedCounts(Mutex<Counts>);
 
-impl Tally {
+impl SharedCounts {
     pub(super) fn lock(&self) -> MutexGuard<'_, Counts> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -54,5 +54,5 @@
     }
 }
 
-/// Remarks kept at the most.
+/// Maximum number of recorded remarks.
 const MAX_REMARKS: usize = 20;
--- a/crates/cli/src/demo/report.rs
+++ b/crates/cli/src/demo/report.rs
@@ -1,26 +1,28 @@
-//! The report of the demo, reconciled from what callers and targets counted.
+//! Report of the demo, computed by comparing the counts of callers and targets.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
 use serde::Serialize;
 
-use super::tally::Counts;
-use super::tally::OrderEnd;
+use super::counts::Counts;
+use super::counts::OrderOutcome;
 use hawthornshift_standins::Target;
 
-/// What happened.
+/// Results of the demo.
 #[derive(Clone, Debug, Serialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct Report {
     flows_opened: u64,
     flows_broken: u64,
-    flows_given_up: u64,
+    #[serde(rename = "flows_given_up")]
+    flows_abandoned: u64,
     packets_sent: u64,
     packets_unanswered: u64,
     packets_wrong_service: u64,
     requests_sent: u64,
-    tries: u64,
+    #[serde(rename = "tries")]
+    attempts: u64,
     answered: u64,
     refused_not_run: u64,
     may_have_run: u64,
@@ -43,7 +45,7 @@
     pub(super) fn new(
         counts: &Counts,
         targets: &[Target],
-        slowest: Duration,
+        slowest_convergence: Duration,
         invariant_breaches: Vec<String>,
         platform_reads: u64,
     ) -> Self {
@@ -52,34 +54,37 @@
         for (order, count) in by_target.iter().flat_map(|counts| &counts.runs) {
             *runs.entry(order).or_default() += count;
         }
-        let run_of = |order: &String| runs.get(order.as_str()).copied().unwrap_or(0);
-        let orders = |end: OrderEnd, wrong: fn(u32) -> bool| {
-            let matching = counts.orders.iter().filter(|(order, ended)| **ended == end && wrong(run_of(order)));
+        let runs_of = |order: &String| runs.get(order.as_str()).copied().unwrap_or(0);
+        let count_orders = |expected_outcome: OrderOutcome, is_violation: fn(u32) -> bool| {
+            let matching = counts
+                .orders
+                .iter()
+                .filter(|(order, outcome)| **outcome == expected_outcome && is_violation(runs_of(order)));
             u64::try_from(matching.count()).unwrap_or(u64::MAX)
         };
-        let repeated = counts.orders.keys().filter(|order| run_of(order) > 1).count();
+        let repeated = counts.orders.keys().filter(|order| runs_of(order) > 1).count();
         let mut latencies = counts.latencies_ms.clone();
         latencies.sort_unstable();
         Self {
             flows_opened: counts.flows_opened,
             flows_broken: counts.flows_broken,
-            flows_given_up: counts.flows_given_up,
+            flows_abandoned: counts.flows_abandoned,
             packets_sent: counts.packets_sent,
             packets_unanswered: counts.packets_sent - counts.packets_answered,
             packets_wrong_service: by_target.iter().map(|counts| counts.wrong_service).sum(),
             requests_sent: counts.requests_sent,
-            tries: counts.tries,
+            attempts: counts.attempts,
             answered: counts.answered,
             refused_not_run: counts.refused_not_run,
             may_have_run: counts.may_have_run,
             run_more_than_once: u64::try_from(repeated).unwrap_or(u64::MAX),
-            refused_not_run_but_ran: orders(OrderEnd::NotRun, |runs| runs > 0),
-            answered_but_not_run: orders(OrderEnd::Answered, |runs| runs == 0),
+            refused_not_run_but_ran: count_orders(OrderOutcome::NotRun, |runs| runs > 0),
+            answered_but_not_run: count_orders(OrderOutcome::Answered, |runs| runs == 0),
             wrong_or_partial_answers: counts.wrong_or_partial_answers,
             cold_overloads: by_target.iter().map(|counts| counts.cold_overloads).sum(),
             slot_overruns: by_target.iter().map(|counts| counts.slot_overruns).sum(),
             packets_to_out_domain_late: by_target.iter().map(|counts| counts.late_after_out).sum(),
-            seconds_to_converge: slowest.as_secs_f64(),
+            seconds_to_converge: slowest_convergence.as_secs_f64(),
             latency_ms_p50: percentile(&latencies, 50),
             latency_ms_p99: percentile(&latencies, 99),
             platform_reads,
@@ -88,8 +93,8 @@
         }
     }
 
-    /// Returns what the brief says must never be, with how often it was.
-    fn never(&self) -> [(&'static str, u64); 8] {
+    /// Returns the violations that must not occur, each with its count.
+    fn violations(&self) -> [(&'static str, u64); 8] {
         [
             ("flows broken", self.flows_broken),
             ("packets at a wrong service", self.packets_wrong_service),
@@ -102,9 +107,9 @@
         ]
     }
 
-    /// Tells whether everything that must always hold did.
+    /// Returns whether no violation occurred and no invariant was broken.
     pub(super) fn is_good(&self) -> bool {
-        self.never().iter().all(|(_, count)| *count == 0) && self.invariant_breaches.is_empty()
+        self.violations().iter().all(|(_, count)| *count == 0) && self.invariant_breaches.is_empty()
     }
 
     pub(super) fn print(&self, json: bool) {
@@ -115,11 +120,11 @@
         println!("what callers saw");
         for (name, count) in [
             ("flows and streams opened", self.flows_opened),
-            ("given up with the domain taken out", self.flows_given_up),
+            ("given up with the domain taken out", self.flows_abandoned),
             ("packets sent", self.packets_sent),
             ("packets unanswered", self.packets_unanswered),
             ("requests sent", self.requests_sent),
-            ("tries", self.tries),
+            ("tries", self.attempts),
             ("answered", self.answered),
             ("refused, not run", self.refused_not_run),
             ("may have run", self.may_have_run),
@@ -132,7 +137,7 @@
         }
         println!("  {:<38} {:>8.3}", "slowest change in force everywhere, s", self.seconds_to_converge);
         println!("what must never be");
-        for (name, count) in self.never() {
+        for (name, count) in self.violations() {
             println!("  {name:<38} {count:>8}");
         }
         println!("  {:<38} {:>8}", "invariants broken", self.invariant_breaches.len());
--- a/crates/cli/src/direct.rs
+++ b/crates/cli/src/direct.rs
@@ -1,4 +1,4 @@
-//! The process of one instance on the direct path.
+//! The `direct` command, which runs an instance in direct mode: targets answer callers themselves.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -10,8 +10,8 @@
 use crate::exit::Exit;
 use crate::incarnation::incarnation;
 use crate::settings::Environment;
-use crate::settings::SettingsFault;
-use crate::settings::SettingsFaults;
+use crate::settings::SettingsError;
+use crate::settings::SettingsErrors;
 use crate::settings::reader;
 use crate::settings::reader::Reader;
 use crate::settings::reader::Setting;
@@ -23,63 +23,63 @@
 use hawthornshift_direct::Process;
 use hawthornshift_platform::settings::PlatformSettings;
 
-/// The command that starts such an instance.
+/// Name of the command.
 pub const COMMAND: &str = "direct";
 
-/// Every setting, in the order of the help text.
+/// All settings, in the order of the help text.
 const SETTINGS: [Setting; 5] = [
-    setting("settings", "PATH", None, "settings file that the platform lays down, as JSON"),
+    setting("settings", "PATH", None, "JSON settings file that the platform writes"),
     setting("metrics-port", "PORT", Some("9464"), "port of /metrics and /dump on this instance's address"),
     setting("log-level", "LEVEL", Some("info"), "trace, debug, info, warning, error or critical"),
-    setting("without", "NAMES", Some(""), "mechanisms to switch off for a trial, with commas between them"),
-    setting("log-rate", "COUNT", Some("100"), "decisions of one kind that are logged in a second at the most"),
+    setting("without", "NAMES", Some(""), "comma-separated mechanisms to disable for an experiment"),
+    setting("log-rate", "COUNT", Some("100"), "maximum number of decisions of one kind logged per second"),
 ];
 
-/// Settings that have passed the check.
+/// Validated settings.
 #[derive(Clone, Debug)]
 pub struct DirectSettings {
-    /// Where the platform's settings file lies.
+    /// Path of the platform's settings file.
     pub path: PathBuf,
-    /// What it says.
+    /// Contents of the platform's settings file.
     pub platform: PlatformSettings,
-    /// Port of metrics and dump.
+    /// TCP port of `/metrics` and `/dump`.
     pub metrics_port: u16,
-    /// What to log.
+    /// Minimum level of logged records.
     pub log_level: Level,
-    /// Decisions of one kind that are logged in a second at the most.
+    /// Maximum number of decisions of one kind that are logged per second.
     pub log_rate: u32,
-    /// What is switched off for a trial.
+    /// Mechanisms, without those disabled for an experiment.
     pub mechanisms: Mechanisms,
 }
 
-/// What the command line asks for.
+/// Action requested on the command line.
 #[derive(Debug)]
-pub enum DirectRequest {
-    /// The help text.
+pub enum DirectAction {
+    /// Prints the help text.
     Help(String),
-    /// To run.
+    /// Runs an instance with these settings.
     Run(Box<DirectSettings>),
 }
 
-/// Reads the command line, the environment and the settings file.
+/// Parses the command line, the environment and the settings file.
 ///
 /// # Errors
 ///
-/// Returns every fault at once.
-pub fn read(args: &[String], environment: &Environment) -> Result<DirectRequest, SettingsFaults> {
+/// Returns all errors found, not just the first.
+pub fn read(args: &[String], environment: &Environment) -> Result<DirectAction, SettingsErrors> {
     let options = reader::options(&SETTINGS);
-    let matches = options.parse(args).map_err(|fail| SettingsFaults(vec![fail.into()]))?;
+    let matches = options.parse(args).map_err(|fail| SettingsErrors(vec![fail.into()]))?;
     if matches.opt_present("help") {
-        let brief = "Usage: hawthornshift direct [OPTIONS]\n\nRuns one instance in front of targets that answer callers \
+        let brief = "Usage: hawthornshift direct [OPTIONS]\n\nRuns one instance in direct mode: targets answer callers \
                      themselves.";
-        return Ok(DirectRequest::Help(options.usage(brief)));
+        return Ok(DirectAction::Help(options.usage(brief)));
     }
     let mut reader = Reader::new(&SETTINGS, matches, environment);
-    reader.check_strays();
+    reader.check_unexpected();
     let settings = settings(&mut reader);
     match settings {
-        Some(settings) if reader.faults.is_empty() => Ok(DirectRequest::Run(Box::new(settings))),
-        _ => Err(SettingsFaults(reader.faults)),
+        Some(settings) if reader.errors.is_empty() => Ok(DirectAction::Run(Box::new(settings))),
+        _ => Err(SettingsErrors(reader.errors)),
     }
 }
 
@@ -88,12 +88,12 @@
     let metrics_port = reader.value("metrics-port", "a port");
     let log_level = reader.level();
     let log_rate = reader.value("log-rate", "a whole number");
-    let mechanisms = reader.value("without", "names of mechanisms");
+    let mechanisms = reader.value("without", "a comma-separated list of mechanisms");
     let path = path?;
     let text = std::fs::read(&path).map_err(|error| error.to_string());
     let platform = text.and_then(|text| PlatformSettings::from_json(&text).map_err(|error| error.to_string()));
     let platform =
-        platform.map_err(|reason| reader.faults.push(SettingsFault::File { path: path.clone(), reason })).ok();
+        platform.map_err(|reason| reader.errors.push(SettingsError::SettingsFile { path: path.clone(), reason })).ok();
     Some(DirectSettings {
         path,
         platform: platform?,
@@ -104,17 +104,17 @@
     })
 }
 
-/// Runs one instance until it is told to stop.
+/// Runs one instance until it stops, and returns the exit code.
 #[must_use]
 pub fn run(args: &[String], environment: &Environment) -> Exit {
     match read(args, environment) {
-        Ok(DirectRequest::Help(text)) => {
+        Ok(DirectAction::Help(text)) => {
             print!("{text}");
             Exit::Good
         }
-        Ok(DirectRequest::Run(settings)) => serve(*settings),
-        Err(faults) => {
-            eprint!("{faults}");
+        Ok(DirectAction::Run(settings)) => serve(*settings),
+        Err(errors) => {
+            eprint!("{errors}");
             eprintln!("See hawthornshift direct --help.");
             Exit::Usage
         }
@@ -123,7 +123,8 @@
 
 fn serve(settings: DirectSettings) -> Exit {
     let log = logs::logger_to(std::io::stdout(), LevelSwitch::new(settings.log_level));
-    // One thread: the state has one owner, and a process here has a quarter of a core and a few megabytes.
+    // Single-threaded: the state has one owner, and the process is limited to a quarter of a core and a few megabytes
+    // of memory.
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
         Err(error) => {
@@ -140,11 +141,11 @@
         mechanisms: settings.mechanisms,
         log: log.clone(),
     };
-    let served = runtime.block_on(async {
+    let result = runtime.block_on(async {
         let process = Process::start(config, CancellationToken::new()).await?;
         process.run().await
     });
-    match served {
+    match result {
         Ok(()) => Exit::Good,
         Err(error) => {
             error!(log, "cannot serve"; "error" => error.to_string());
--- a/crates/cli/src/exit.rs
+++ b/crates/cli/src/exit.rs
@@ -4,18 +4,19 @@
 
 use strum::Display;
 
-/// How a process ended.
+/// Outcome of a command or process, converted to its exit code.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
 pub enum Exit {
-    /// All went well; for an instance, a planned stop.
+    /// Success; for an instance, a graceful shutdown. Exit code 0.
     Good,
-    /// What was asked about is not good: a set was refused, an instance did not answer, an invariant was broken.
+    /// The command reports a failure: a set was refused, an instance did not respond, or an invariant was violated.
+    /// Exit code 1.
     Bad,
-    /// The command line or the settings are wrong.
+    /// The command line or the settings are invalid. Exit code 2.
     Usage,
-    /// A listener could not be opened.
+    /// The process could not start, for example because it could not open a listener. Exit code 3.
     CannotListen,
-    /// A newer process lives under this instance's id.
+    /// A newer process runs under the same instance id. Exit code 4.
     Superseded,
 }
 
--- a/crates/cli/src/instance.rs
+++ b/crates/cli/src/instance.rs
@@ -1,4 +1,4 @@
-//! The process of one instance.
+//! Runs the process of one instance.
 
 use slog::error;
 use slog::info;
@@ -9,8 +9,8 @@
 use crate::exit::Exit;
 use crate::incarnation::incarnation;
 use crate::settings;
+use crate::settings::Action;
 use crate::settings::Environment;
-use crate::settings::Request;
 use crate::settings::Settings;
 use hawthornshift_adapters::Config;
 use hawthornshift_adapters::Instance;
@@ -19,7 +19,9 @@
 use hawthornshift_adapters::logs;
 use hawthornshift_adapters::logs::LevelSwitch;
 
-/// Runs one instance until it is told to stop.
+/// Runs one instance until it stops, and returns the exit code.
+///
+/// If the first argument is [`direct::COMMAND`], the instance runs in direct mode.
 #[must_use]
 pub fn run_instance(args: &[String], environment: &Environment) -> Exit {
     if let Some((command, rest)) = args.split_first()
@@ -28,17 +30,17 @@
         return direct::run(rest, environment);
     }
     match settings::read(args, environment) {
-        Ok(Request::Help(text)) => {
+        Ok(Action::Help(text)) => {
             print!("{text}");
             Exit::Good
         }
-        Ok(Request::Version) => {
+        Ok(Action::Version) => {
             println!("hawthornshift {}", env!("CARGO_PKG_VERSION"));
             Exit::Good
         }
-        Ok(Request::Run(settings)) => run(*settings),
-        Err(faults) => {
-            eprint!("{faults}");
+        Ok(Action::Run(settings)) => run(*settings),
+        Err(errors) => {
+            eprint!("{errors}");
             eprintln!("See hawthornshift --help.");
             Exit::Usage
         }
@@ -49,7 +51,7 @@
     let runtime = match tokio::runtime::Builder::new_multi_thread().enable_all().build() {
         Ok(runtime) => runtime,
         Err(error) => {
-            eprintln!("cannot start threads: {error}");
+            eprintln!("cannot create the Tokio runtime: {error}");
             return Exit::CannotListen;
         }
     };
@@ -74,15 +76,15 @@
             return Exit::CannotListen;
         }
     };
-    wait(&instance).await;
+    wait_for_shutdown(&instance).await;
     info!(log, "stopping as planned");
     let stopped = instance.stop().await;
     if stopped.dump().phase == "superseded" { Exit::Superseded } else { Exit::Good }
 }
 
-/// Waits for a signal, or for the instance to end by itself.
-async fn wait(instance: &Instance<Serving>) {
-    let terminate = async {
+/// Waits for SIGTERM or SIGINT, or until the instance stops by itself.
+async fn wait_for_shutdown(instance: &Instance<Serving>) {
+    let sigterm = async {
         match signal(SignalKind::terminate()) {
             Ok(mut signal) => {
                 signal.recv().await;
@@ -91,7 +93,7 @@
         }
     };
     tokio::select! {
-        () = terminate => {}
+        () = sigterm => {}
         _ = tokio::signal::ctrl_c() => {}
         () = instance.finished() => {}
     }
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -1,6 +1,6 @@
-//! Settings, commands and the demo behind the two binaries.
+//! Settings, commands and the demo of the two binaries.
 //!
-//! The binaries themselves only call [`run_instance`] and [`run_ctl`]; everything that can be tested is here.
+//! The binaries only call [`run_instance`] and [`run_ctl`], so that all other code can be tested here.
 
 pub mod ctl;
 pub mod demo;
--- a/crates/cli/src/settings/mod.rs
+++ b/crates/cli/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! Settings of an instance: flags and environment variables, checked all at once.
+//! Settings of an instance from flags and environment variables. All errors are reported at once.
 
 pub(crate) mod reader;
 
@@ -12,99 +12,104 @@
 use self::reader::PREFIX;
 use self::reader::Reader;
 use self::reader::Setting;
-pub use self::reader::SettingsFault;
-pub use self::reader::SettingsFaults;
+pub use self::reader::SettingsError;
+pub use self::reader::SettingsErrors;
 use self::reader::setting;
 use hawthornshift_core::Tuning;
 use hawthornshift_model::InstanceId;
 
-/// Every setting, in the order of the help text.
+/// All settings, in the order of the help text.
 const SETTINGS: [Setting; 18] = [
-    setting("id", "NUMBER", None, "number of this instance, unique among the live ones"),
+    setting("id", "NUMBER", None, "number of this instance, unique among the running instances"),
     setting("failure-domain", "NAME", None, "failure domain that this instance runs in"),
-    setting("platform", "IP:PORT", None, "where the platform's configuration service answers"),
-    setting("control", "IP:PORT", None, "where to listen for other instances (TCP)"),
-    setting("forward", "IP:PORT", None, "where to listen for packets that other instances forward (UDP)"),
-    setting("admin", "IP:PORT", Some("127.0.0.1:9600"), "where to listen for operators (HTTP)"),
+    setting("platform", "IP:PORT", None, "address of the platform's configuration service"),
+    setting("control", "IP:PORT", None, "listen address for other instances (TCP)"),
+    setting("forward", "IP:PORT", None, "listen address for packets that other instances forward (UDP)"),
+    setting("admin", "IP:PORT", Some("127.0.0.1:9600"), "listen address for operators (HTTP)"),
     setting(
         "admin-token",
         "TOKEN",
         None,
-        "token that operators must show; needed when admin is not a loopback address",
+        "token that operators must send; required if --admin is not a loopback address",
     ),
-    setting("listen", "IP", None, "listen for callers here instead of on the services' own addresses"),
-    setting("peers", "IP:PORT,...", None, "other instances to ask when the platform cannot be reached"),
+    setting("listen", "IP", None, "listen for callers on this address instead of the services' own addresses"),
+    setting("peers", "IP:PORT,...", None, "other instances to query when the platform is unreachable"),
     setting("log-level", "LEVEL", Some("info"), "trace, debug, info, warning, error or critical"),
-    setting("flow-capacity", "COUNT", Some("500000"), "most datagram flows known at once"),
-    setting("drain-ms", "MS", Some("30000"), "longest time of a planned stop"),
-    setting("ping-period-ms", "MS", Some("400"), "time between two heartbeats"),
-    setting("ping-timeout-ms", "MS", Some("250"), "time after which a heartbeat is tried through others"),
-    setting("lease-ms", "MS", Some("1500"), "time for which a view is trusted without word from any peer"),
-    setting("suspicion-ms", "MS", Some("1600"), "time for which a silent peer is suspected before it counts as dead"),
-    setting("ticket-life-ms", "MS", Some("600000"), "time for which a ticket may be redeemed"),
-    setting("answer-bytes", "BYTES", Some("33554432"), "most bytes of answers kept for retries"),
+    setting("flow-capacity", "COUNT", Some("500000"), "maximum number of tracked datagram flows"),
+    setting("drain-ms", "MS", Some("30000"), "maximum duration of a graceful shutdown"),
+    setting("ping-period-ms", "MS", Some("400"), "interval between heartbeats"),
+    setting("ping-timeout-ms", "MS", Some("250"), "heartbeat timeout, after which indirect pings are sent"),
+    setting("lease-ms", "MS", Some("1500"), "time for which a view stays valid without contact with any peer"),
+    setting(
+        "suspicion-ms",
+        "MS",
+        Some("1600"),
+        "time for which an unresponsive peer is suspected before it is declared dead",
+    ),
+    setting("ticket-life-ms", "MS", Some("600000"), "time for which a ticket is valid"),
+    setting("answer-bytes", "BYTES", Some("33554432"), "maximum size of the answers stored for retries"),
 ];
 
-/// What the command line asks for.
+/// Action requested on the command line.
 #[derive(Debug)]
-pub enum Request {
-    /// The help text.
+pub enum Action {
+    /// Prints the help text.
     Help(String),
-    /// The version.
+    /// Prints the version.
     Version,
-    /// To run.
+    /// Runs an instance with these settings.
     Run(Box<Settings>),
 }
 
-/// Settings that have passed the check.
+/// Validated settings.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Number of the instance.
+    /// Number of the instance, unique among the running instances.
     pub id: InstanceId,
-    /// Its failure domain.
+    /// Name of the failure domain that the instance runs in.
     pub failure_domain: String,
-    /// Where the platform answers.
+    /// Address of the platform's configuration service.
     pub platform: SocketAddr,
-    /// Where to listen for other instances.
+    /// Listen address for other instances (TCP).
     pub control: SocketAddr,
-    /// Where to listen for forwarded packets.
+    /// Listen address for forwarded packets (UDP).
     pub forward: SocketAddr,
-    /// Where to listen for operators.
+    /// Listen address for operators (HTTP).
     pub admin: SocketAddr,
-    /// What operators must show.
+    /// Token that operators must send.
     pub admin_token: Option<String>,
-    /// Where to listen for callers.
+    /// Listen address for callers; the services' own addresses when absent.
     pub listen: Option<IpAddr>,
-    /// Peers to ask without the platform.
+    /// Other instances to query when the platform is unreachable.
     pub peers: Vec<SocketAddr>,
-    /// What to log.
+    /// Minimum level of logged records.
     pub log_level: Level,
-    /// Times and limits.
+    /// Timeouts and limits.
     pub tuning: Tuning,
 }
 
-/// Reads the command line and the environment.
+/// Parses the command line and the environment.
 ///
-/// A flag wins over its variable.
+/// A flag overrides the environment variable of the same setting.
 ///
 /// # Errors
 ///
-/// Returns every fault at once.
-pub fn read(args: &[String], environment: &Environment) -> Result<Request, SettingsFaults> {
+/// Returns all errors found, not just the first.
+pub fn read(args: &[String], environment: &Environment) -> Result<Action, SettingsErrors> {
     let options = reader::options(&SETTINGS);
-    let matches = options.parse(args).map_err(|fail| SettingsFaults(vec![fail.into()]))?;
+    let matches = options.parse(args).map_err(|fail| SettingsErrors(vec![fail.into()]))?;
     if matches.opt_present("help") {
-        return Ok(Request::Help(usage(&options)));
+        return Ok(Action::Help(usage(&options)));
     }
     if matches.opt_present("version") {
-        return Ok(Request::Version);
+        return Ok(Action::Version);
     }
     let mut reader = Reader::new(&SETTINGS, matches, environment);
-    reader.check_strays();
+    reader.check_unexpected();
     let settings = reader.settings();
     match settings {
-        Some(settings) if reader.faults.is_empty() => Ok(Request::Run(Box::new(settings))),
-        _ => Err(SettingsFaults(reader.faults)),
+        Some(settings) if reader.errors.is_empty() => Ok(Action::Run(Box::new(settings))),
+        _ => Err(SettingsErrors(reader.errors)),
     }
 }
 
@@ -112,14 +117,14 @@
     let brief = "Usage: hawthornshift [OPTIONS]\n\nRuns one instance of the load balancer.";
     let notes = format!(
         "Each option can be given as an environment variable: --drain-ms is {PREFIX}DRAIN_MS.\n\
-         SIGTERM and SIGINT stop the instance as planned. Exit codes: 0 planned stop, 2 wrong settings,\n\
-         3 cannot listen, 4 a newer process lives under the same id.\n"
+         SIGTERM and SIGINT shut the instance down gracefully. Exit codes: 0 graceful shutdown,\n\
+         2 invalid settings, 3 cannot start or listen, 4 a newer process runs under the same id.\n"
     );
     format!("{}\n{notes}", options.usage(brief))
 }
 
 impl Reader<'_> {
-    /// Reads every setting, also after a fault, so that all faults are found.
+    /// Reads all settings; continues after an error so that all errors are reported.
     fn settings(&mut self) -> Option<Settings> {
         let id = self.value("id", "a whole number");
         let failure_domain = self.required("failure-domain");
@@ -128,12 +133,12 @@
         let forward = self.value("forward", "an address");
         let admin = self.value("admin", "an address");
         let admin_token = self.text("admin-token");
-        let listen = self.optional("listen", "an IP number");
+        let listen = self.optional("listen", "an IP address");
         let peers = self.peers();
         let log_level = self.level();
         let tuning = self.tuning();
-        self.check_admin(admin, admin_token.as_ref());
-        self.check_distinct(control, admin);
+        self.check_admin_token(admin, admin_token.as_ref());
+        self.check_distinct_addresses(control, admin);
         Some(Settings {
             id: id?,
             failure_domain: failure_domain?,
@@ -151,8 +156,8 @@
 
     fn peers(&mut self) -> Vec<SocketAddr> {
         let text = self.text("peers").unwrap_or_default();
-        let words = text.split(',').map(str::trim).filter(|word| !word.is_empty());
-        words.filter_map(|word| self.parse("peers", word.to_owned(), "an address")).collect()
+        let parts = text.split(',').map(str::trim).filter(|part| !part.is_empty());
+        parts.filter_map(|part| self.parse("peers", part.to_owned(), "an address")).collect()
     }
 
     fn tuning(&mut self) -> Option<Tuning> {
@@ -176,23 +181,23 @@
         match tuning.checked() {
             Ok(tuning) => Some(tuning),
             Err(error) => {
-                self.faults.push(error.into());
+                self.errors.push(error.into());
                 None
             }
         }
     }
 
-    /// Whoever reaches the admin service can stop the instance.
-    fn check_admin(&mut self, admin: Option<SocketAddr>, token: Option<&String>) {
-        let empty = token.is_none_or(String::is_empty);
-        if let Some(admin) = admin.filter(|admin| !admin.ip().is_loopback() && empty) {
-            self.faults.push(SettingsFault::OpenAdmin(admin));
+    /// Requires a token unless the admin service listens on loopback: anyone who can reach it can stop the instance.
+    fn check_admin_token(&mut self, admin: Option<SocketAddr>, token: Option<&String>) {
+        let no_token = token.is_none_or(String::is_empty);
+        if let Some(admin) = admin.filter(|admin| !admin.ip().is_loopback() && no_token) {
+            self.errors.push(SettingsError::AdminWithoutToken(admin));
         }
     }
 
-    fn check_distinct(&mut self, control: Option<SocketAddr>, admin: Option<SocketAddr>) {
+    fn check_distinct_addresses(&mut self, control: Option<SocketAddr>, admin: Option<SocketAddr>) {
         if control.is_some() && control == admin && control.is_some_and(|address| address.port() != 0) {
-            self.faults.push(SettingsFault::SameAddress("control", "admin"));
+            self.errors.push(SettingsError::DuplicateAddress("control", "admin"));
         }
     }
 }
