--- a/crates/cli/src/ctl/mod.rs
+++ b/crates/cli/src/ctl/mod.rs
@@ -78,7 +78,7 @@
     match (seconds, seed) {
         (Ok(seconds), Ok(seed)) if seconds >= demo::MIN_SECONDS => demo::run(seconds, seed, output.is_json()),
         (Ok(_), Ok(_)) => usage_error(&format!("--seconds must be at least {}", demo::MIN_SECONDS)),
-        _ => usage_error("--seconds and --seed take whole numbers"),
+        _ => usage_error("--seconds and --seed must be integers"),
     }
 }
 
--- a/crates/cli/src/ctl/sets.rs
+++ b/crates/cli/src/ctl/sets.rs
@@ -107,5 +107,5 @@
     for diagnostic in &report.diagnostics {
         println!("{diagnostic}");
     }
-    println!("{} changes, {} faults", report.changes.len(), report.diagnostics.len());
+    println!("{} changes, {} errors", report.changes.len(), report.diagnostics.len());
 }
--- a/crates/cli/src/direct.rs
+++ b/crates/cli/src/direct.rs
@@ -87,7 +87,7 @@
     let path = reader.required("settings").map(PathBuf::from);
     let metrics_port = reader.value("metrics-port", "a port");
     let log_level = reader.level();
-    let log_rate = reader.value("log-rate", "a whole number");
+    let log_rate = reader.value("log-rate", "an integer");
     let mechanisms = reader.value("without", "a comma-separated list of mechanisms");
     let path = path?;
     let text = std::fs::read(&path).map_err(|error| error.to_string());
--- a/crates/cli/src/settings/mod.rs
+++ b/crates/cli/src/settings/mod.rs
@@ -126,7 +126,7 @@
 impl Reader<'_> {
     /// Reads all settings; continues after an error so that all errors are reported.
     fn settings(&mut self) -> Option<Settings> {
-        let id = self.value("id", "a whole number");
+        let id = self.value("id", "an integer");
         let failure_domain = self.required("failure-domain");
         let platform = self.value("platform", "an address");
         let control = self.value("control", "an address");
@@ -161,14 +161,14 @@
     }
 
     fn tuning(&mut self) -> Option<Tuning> {
-        let flow_capacity = self.value("flow-capacity", "a whole number");
+        let flow_capacity = self.value("flow-capacity", "an integer");
         let drain = self.millis("drain-ms");
         let ping_period = self.millis("ping-period-ms");
         let ping_timeout = self.millis("ping-timeout-ms");
         let lease = self.millis("lease-ms");
         let suspicion = self.millis("suspicion-ms");
         let ticket_life = self.millis("ticket-life-ms");
-        let answer_bytes = self.value("answer-bytes", "a whole number");
+        let answer_bytes = self.value("answer-bytes", "an integer");
         let tuning = Tuning::default()
             .flow_capacity(flow_capacity?)
             .drain(drain?)
