--- a/crates/core/benches/decisions.rs
+++ b/crates/core/benches/decisions.rs
@@ -1,8 +1,8 @@
-//! Speed of the decisions that every packet and change needs.
+//! Benchmarks of the decisions made for every packet and every configuration change.
 //!
-//! Read them as ratios within one run: from one size to the next, and of a decision to `hash`, which stands for the
+//! Compare results only as ratios within one run: between sizes, or relative to `hash`, which represents the speed of the
 //! machine.
-#![allow(missing_docs, reason = "the macros of criterion make items without any")]
+#![allow(missing_docs, reason = "the macros of criterion generate undocumented items")]
 
 mod support;
 
--- a/crates/core/benches/support/mod.rs
+++ b/crates/core/benches/support/mod.rs
@@ -1,5 +1,5 @@
-//! Sets and nodes of any size, for the benches.
-#![allow(unreachable_pub, reason = "a module of a bench")]
+//! Published sets and nodes of configurable size for the benchmarks.
+#![allow(unreachable_pub, reason = "a module of a benchmark")]
 
 use std::net::IpAddr;
 use std::net::Ipv4Addr;
@@ -26,13 +26,14 @@
 
 /// Names of the failure domains.
 pub const DOMAINS: [&str; 4] = ["norte", "sur", "este", "oeste"];
-/// Returns an address of one of many.
+
+/// Returns the address with index `number` in the network `10.net.0.0/16`.
 pub fn indexed_address(net: u8, number: usize, port: u16) -> SocketAddr {
     let [_, _, high, low] = u32::try_from(number).unwrap().to_be_bytes();
     SocketAddr::new(IpAddr::V4(Ipv4Addr::new(10, net, high, low)), port)
 }
 
-/// Makes a set of `services` groups that share `targets` targets.
+/// Creates a published set of `services` services, whose target groups share `targets` targets.
 pub fn set(targets: usize, services: usize) -> PublishedSet {
     let group = |service: usize| {
         let members = (0..targets).filter(|number| number % services == service);
@@ -70,12 +71,12 @@
     }
 }
 
-/// Makes a checked set.
+/// Creates a checked set; see [`set`].
 pub fn checked(targets: usize, services: usize) -> Arc<CheckedSet> {
     Arc::new(CheckedSet::new(set(targets, services)).expect("the generated set is sound"))
 }
 
-/// Makes a node that has a set and knows nobody.
+/// Creates a node that has a set and knows no other node.
 pub fn node(id: u32, set: &Arc<CheckedSet>) -> Node {
     let identity = Identity {
         id,
@@ -90,7 +91,7 @@
     node
 }
 
-/// Makes a lone node that serves, with every target warm; returns the time at which it does.
+/// Creates a single serving node with all targets warm. Returns it with the time since its start.
 pub fn serving_node(set: &Arc<CheckedSet>) -> (Node, Timestamp) {
     let mut node = node(0, set);
     let mut now = Timestamp::ZERO;
@@ -108,7 +109,7 @@
     (node, now + TICK_PERIOD)
 }
 
-/// Returns the caller of one of many flows.
+/// Returns the address of the caller with index `number`: 16 ports per IP address.
 pub fn indexed_caller(number: usize) -> SocketAddr {
     indexed_address(100, number >> 4, 5_000 + u16::try_from(number & 15).unwrap())
 }
--- a/crates/core/examples/ablation.rs
+++ b/crates/core/examples/ablation.rs
@@ -1,10 +1,10 @@
-//! What each mechanism of the direct path is worth in virtual time: every one switched off in turn, under each load pattern
-//! that one of them answers.
+//! Ablation of the mechanisms of the direct path in virtual time: disables each one in turn, under every load pattern that
+//! one of them is meant for.
 //!
-//! `cargo run --release -p hawthornshift-core --example ablation` prints the change of the part answered in time, and of the
-//! part answered at all, in thousandths against all mechanisms on, as means over the same seeds.
+//! `cargo run --release -p hawthornshift-core --example ablation` prints the change of the fraction of requests answered in
+//! time, and of the fraction answered at all, in thousandths relative to all mechanisms enabled, as means over the same seeds.
 
-#[allow(dead_code, unreachable_pub, reason = "the emulator is made for the tests, which use all of it")]
+#[allow(dead_code, unreachable_pub, reason = "the emulator is part of the tests, which use all of it")]
 #[path = "../tests/direct/fleet.rs"]
 mod fleet;
 
@@ -18,14 +18,14 @@
 use hawthornshift_core::direct::mechanisms::Mechanism;
 use hawthornshift_core::direct::mechanisms::Mechanisms;
 
-/// Seeds of each case; a difference below the spread of their mean is none.
+/// Number of seeds per case. A difference smaller than the standard error of their mean is not significant.
 const SEEDS: u64 = 8;
-/// Half of what 14 targets with 2 slots can do.
+/// Base load in requests per second: half the capacity of 14 targets with 2 slots each.
 const BASE_RATE: f64 = 425.0;
-/// Targets that a fault hits, in three failure domains.
+/// Indices of the targets affected by a fault, in three failure domains.
 const FAULTY_TARGETS: [usize; 3] = [1, 5, 9];
 
-/// A load pattern with its faults; returns the span that counts.
+/// A load pattern with its faults, by name. The function runs it and returns the start and end of the measured time span.
 type LoadCase = (&'static str, fn(&mut Sim) -> (Duration, Duration));
 
 const CASES: [LoadCase; 10] = [
--- a/src/bin/hawthornshiftctl.rs
+++ b/src/bin/hawthornshiftctl.rs
@@ -1,4 +1,4 @@
-//! The operators' tool.
+//! Entry point of the operators' command-line tool.
 
 use std::process::ExitCode;
 
--- a/tests/direct.rs
+++ b/tests/direct.rs
@@ -1,4 +1,4 @@
-//! Real processes on the direct path: start, readiness, reload, stop, and a short soak.
+//! Tests of real processes on the direct path: start, readiness, settings reload, stop, and a short soak.
 
 use std::collections::BTreeSet;
 use std::net::Ipv4Addr;
@@ -24,22 +24,22 @@
 use hawthornshift_standins::Store;
 
 const BINARY: &str = env!("CARGO_BIN_EXE_hawthornshift");
-/// Longest time that anything waited for may take; far more than it needs.
+/// Timeout of every wait; far longer than any of them needs.
 const WAIT_TIMEOUT: Duration = Duration::from_mins(1);
-/// Longest time of one HTTP call.
+/// Timeout of one HTTP call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Returns a loopback address that no other test uses.
 ///
-/// Ports are found by binding them and letting go. Tests run side by side, so on one address a second one may be given the
-/// same port before the first has started its process, which then ends since it cannot listen.
+/// Free ports are found by binding and releasing them. Tests run in parallel, so on a shared address a second test could be
+/// assigned the same port before the first has started its process, which would then exit because it cannot listen.
 fn unique_loopback_address() -> Ipv4Addr {
     static NEXT: AtomicU8 = AtomicU8::new(1);
     let process = u8::try_from(std::process::id() % 250).unwrap_or_default();
     Ipv4Addr::new(127, 220, process, NEXT.fetch_add(1, Ordering::Relaxed))
 }
 
-/// One instance with a store, in a directory of its own.
+/// One instance with a store and its own directory.
 struct TestInstance {
     store: Store,
     instance: Instance,
@@ -92,7 +92,7 @@
         std::fs::read_to_string(self.directory.join("instance-0.1.log")).unwrap()
     }
 
-    /// Waits for the end of the process and returns its exit code.
+    /// Waits for the process to exit and returns its exit code.
     async fn exit_code(&mut self) -> Option<i32> {
         let deadline = Instant::now() + WAIT_TIMEOUT;
         loop {
@@ -108,13 +108,13 @@
 impl Drop for TestInstance {
     fn drop(&mut self) {
         self.instance.kill();
-        // Left behind only if the directory cannot be removed, which harms no other run.
+        // If the removal fails, the directory stays behind, which affects no other run.
         let _ = std::fs::remove_dir_all(&self.directory);
     }
 }
 
-/// The platform asks for readiness before the store has said anything. An instance that says yes too early gets flows
-/// that it has no target for.
+/// Guards against an instance that reports readiness before it has a configuration from the store: it would receive flows
+/// for which it has no target.
 #[tokio::test(flavor = "multi_thread")]
 async fn instance_is_ready_once_it_has_a_configuration() {
     let mut test = TestInstance::new("ready").await;
@@ -129,8 +129,8 @@
     assert_eq!((dump["ready"].as_bool(), dump["version"].as_u64()), (Some(true), Some(1)));
 }
 
-/// The settings file changes, once with a signal and once to something that cannot be read. The first program that ran
-/// here had no handler for the signal and ended; every caller of the instance noticed.
+/// Guards against a process that exits on SIGHUP or on a settings file that it cannot decode. An early version had no handler
+/// for the signal and exited, which interrupted all callers of the instance.
 #[tokio::test(flavor = "multi_thread")]
 async fn settings_reload_keeps_the_process_serving() {
     let mut test = TestInstance::new("reload").await;
@@ -148,7 +148,7 @@
     assert_eq!(test.status("/api/ready").await, Some(200));
 }
 
-/// An engineer looks a metric up and finds nothing, since it was added or renamed without its line in the operators' page.
+/// Guards against a metric or outcome that was added or renamed without an entry in the operators' documentation.
 #[tokio::test(flavor = "multi_thread")]
 async fn every_metric_and_outcome_is_documented() {
     let page = include_str!("../docs/OPERATIONS.md");
@@ -170,8 +170,8 @@
     }
 }
 
-/// An instance is asked to stop. It says at once that it takes no new flows, goes on serving, and ends by itself well
-/// before it would be killed, with exit code 0.
+/// Guards against a stop that breaks flows or outlasts the grace period. On SIGTERM, an instance must report at once that it
+/// accepts no new flows, keep serving, and exit with code 0 well before SIGKILL.
 #[tokio::test(flavor = "multi_thread")]
 async fn sigterm_stops_gracefully_with_exit_code_0() {
     let mut test = TestInstance::new("stop").await;
@@ -184,7 +184,8 @@
     assert!(test.log().contains("\"stopped\""), "{}", test.log());
 }
 
-/// A settings file is missing or lacks a field. The process says which file and why, and does not start.
+/// Guards against an unclear start failure: with a missing settings file and an invalid option, the process must exit with
+/// code 2 and name both.
 #[test]
 fn unusable_settings_are_reported_by_path_and_option() {
     let run =
@@ -195,8 +196,8 @@
     assert!(text.contains("/nowhere/settings.json") && text.contains("--log-rate"), "{text}");
 }
 
-/// A short run with every kind of fault that its seed draws. What it checks is in the soak's own pages; a seed that ever
-/// failed stays in this list.
+/// Runs a short soak for each seed, which selects the kinds of faults. The soak crate documents its checks. Every seed that
+/// has ever failed stays in the list.
 #[tokio::test(flavor = "multi_thread")]
 async fn short_soak_finds_no_violation() {
     for seed in SOAK_SEEDS {
@@ -221,13 +222,14 @@
 /// Seeds of the short soak.
 const SOAK_SEEDS: [u64; 5] = [
     41,
-    // An instance that was paused woke up and placed what had waited in its socket for 2.6 s on a target that had been
-    // restarted cold meanwhile.
-    402, // Restarts and a pause at once made three instances believe that a cold target's trickle was theirs.
+    // After a pause, an instance placed packets that had been queued in its socket for 2.6 s on a target that had been
+    // restarted cold in the meantime.
+    402,
+    // Restarts combined with a pause made three instances each assume that the slow-start rate of a cold target was theirs.
     110,
-    // The copies of nine SYNs opened flows within a second at a target that had been restarted cold meanwhile.
+    // Retransmissions of nine SYNs opened flows within one second at a target that had been restarted cold in the meantime.
     6_216,
-    // What instances told each other of flows that a dead target did not answer was taken for its sign of life, and it
-    // got its full share from the moment when it came back cold.
+    // Load reports about flows that a dead target did not answer were counted as evidence of liveness, so the target received
+    // its full share as soon as it came back cold.
     7_009,
 ];
