--- a/crates/direct/src/callers.rs
+++ b/crates/direct/src/callers.rs
@@ -109,7 +109,7 @@
     }
 
     /// Performs an effect: sends a packet to a target or a reset to a caller.
-    pub fn carry_out(&mut self, effect: Effect) {
+    pub fn execute(&mut self, effect: Effect) {
         match effect {
             Effect::Forward { packet: Packet::Current, to, target, cookie } => {
                 self.buf[..TARGET_ID_BYTES].copy_from_slice(&packet::target_id_prefix(target));
--- a/crates/direct/src/process.rs
+++ b/crates/direct/src/process.rs
@@ -91,7 +91,7 @@
     tx: mpsc::Sender<Command>,
     rx: mpsc::Receiver<Command>,
     decision_log: DecisionLog,
-    reload: SettingsReloader,
+    settings_reloader: SettingsReloader,
     counts: ProcessCounts,
     pause: PauseDetector,
     stopping: Option<Stopping>,
@@ -124,7 +124,7 @@
         let dispatcher = Dispatcher::new(DispatcherConfig {
             id,
             domain: platform.failure_domain.clone(),
-            evacuation_grace: platform.evacuation.mul_f64(EVACUATION_GRACE_FRACTION),
+            evacuation_grace: platform.evacuation_bound.mul_f64(EVACUATION_GRACE_FRACTION),
             mechanisms: config.mechanisms,
         });
         let (tx, rx) = mpsc::channel(command::COMMAND_QUEUE_LEN);
@@ -132,11 +132,12 @@
         let ready = Arc::new(AtomicBool::new(false));
         let handover_permits = Arc::new(Semaphore::new(MAX_CONCURRENT_HANDOVERS));
         let services = Services { ready: Arc::clone(&ready), tx: tx.clone(), handover_permits };
-        let addresses = [Some(platform.ready), Some(platform.peers), platform.control, Some(config.metrics)];
+        let addresses =
+            [Some(platform.ready_address), Some(platform.peers), platform.control_address, Some(config.metrics)];
         for address in addresses.into_iter().flatten() {
             http_server::serve(address, services.clone(), cancel.clone()).await?;
         }
-        let client = StoreClient::new(platform.store);
+        let client = StoreClient::new(platform.store_address);
         tokio::spawn(store_reader::run(client, reader_mode_rx, tx.clone(), cancel.clone()));
         let jitter = rand::rng().random_range(0.0..1.0);
         let bootstrap = Bootstrap::new(platform.first_start, platform.link_mbps, jitter);
@@ -145,7 +146,7 @@
             log: config.log.clone(),
             dispatcher,
             fleet: Fleet::new(Timestamp::ZERO, identity, &platform.seeds),
-            callers: CallerSocket::bind(platform.packets).await?,
+            callers: CallerSocket::bind(platform.packet_address).await?,
             peers: PeerSocket::bind(platform.peers).await?,
             group_addresses: Vec::new(),
             ready,
@@ -153,7 +154,7 @@
             tx,
             rx,
             decision_log: DecisionLog::new(config.log.clone(), config.log_rate),
-            reload: SettingsReloader::new(&config.settings_path, config.platform.clone()),
+            settings_reloader: SettingsReloader::new(&config.settings_path, config.platform.clone()),
             counts: ProcessCounts::default(),
             pause: PauseDetector::new(Timestamp::ZERO, time_of_day()),
             stopping: None,
@@ -225,16 +226,16 @@
             return;
         }
         let now = self.now();
-        info!(self.log, "graceful stop started"; "grace_ms" => millis(self.config.platform.grace));
+        info!(self.log, "graceful stop started"; "grace_ms" => millis(self.config.platform.grace_period));
         self.ready.store(false, Ordering::Relaxed);
-        self.stopping = Some(Stopping::new(now, self.config.platform.grace));
+        self.stopping = Some(Stopping::new(now, self.config.platform.grace_period));
         self.fleet.leave(now);
         self.next_fleet_tick = now;
     }
 
     fn announce_departure(&mut self) {
         let effects = self.fleet.depart();
-        self.carry_out_fleet(effects);
+        self.execute_fleet_effects(effects);
         info!(self.log, "stopped"; "packets" => self.callers.counts().received);
     }
 
@@ -249,7 +250,7 @@
             // The socket counts malformed packets.
             let Ok(segment) = decoded else { continue };
             self.dispatcher.handle_packet(now, &segment, self.callers.packet(), &mut self.effects);
-            self.carry_out();
+            self.execute_effects();
         }
     }
 
@@ -258,20 +259,20 @@
             let Some(frame) = self.peers.read() else { return };
             let now = self.now();
             let effects = self.fleet.frame(now, frame, self.dispatcher.directory().revision());
-            self.carry_out_fleet(effects);
+            self.execute_fleet_effects(effects);
         }
     }
 
-    fn carry_out(&mut self) {
+    fn execute_effects(&mut self) {
         for effect in self.effects.drain(..) {
             match effect {
                 Effect::Check { target, to } => checker::check(target, to, &self.tx),
-                effect => self.callers.carry_out(effect),
+                effect => self.callers.execute(effect),
             }
         }
     }
 
-    fn carry_out_fleet(&mut self, effects: Vec<FleetEffect>) {
+    fn execute_fleet_effects(&mut self, effects: Vec<FleetEffect>) {
         let now = self.now();
         for effect in effects {
             match effect {
@@ -285,7 +286,7 @@
                 FleetEffect::ApplyDelta(delta) => self.apply_delta(now, &delta, "peer"),
                 FleetEffect::ApplyLoadReport(report) => {
                     self.dispatcher.apply_load_report(now, &report, &mut self.effects);
-                    self.carry_out();
+                    self.execute_effects();
                 }
                 FleetEffect::Changed => self.fleet_changed(),
             }
@@ -342,7 +343,7 @@
             Command::StoreFailed { reason } => self.store_failed(&reason),
             Command::CheckFinished { target, outcome } => {
                 self.dispatcher.check_finished(now, target, outcome, &mut self.effects);
-                self.carry_out();
+                self.execute_effects();
             }
             Command::PullFinished { outcome, elapsed } => self.pull_finished(now, &outcome, elapsed),
             Command::Handover { since, answer } => self.answer_handover(now, since, answer),
@@ -386,7 +387,7 @@
         let now = self.now();
         if now >= self.dispatcher.next_due() {
             self.dispatcher.tick(now, &mut self.effects);
-            self.carry_out();
+            self.execute_effects();
         }
         if !self.dispatcher.directory().is_synced() {
             self.fetch_snapshot(now);
@@ -396,7 +397,7 @@
         }
         self.next_fleet_tick = now + FLEET_TICK_PERIOD;
         let effects = self.fleet.tick(now, self.dispatcher.directory().revision());
-        self.carry_out_fleet(effects);
+        self.execute_fleet_effects(effects);
         self.log_changes(now);
         self.update_readiness();
         if now >= self.next_settings_check {
@@ -407,8 +408,8 @@
 
     fn reload_settings(&mut self, signalled: bool) {
         let path = self.config.settings_path.clone();
-        if let Some(settings) = self.reload.reload_if_changed(&path, signalled, &self.log) {
-            self.config.platform.grace = settings.grace;
+        if let Some(settings) = self.settings_reloader.reload_if_changed(&path, signalled, &self.log) {
+            self.config.platform.grace_period = settings.grace_period;
         }
     }
 
--- a/crates/direct/src/process/store_updates.rs
+++ b/crates/direct/src/process/store_updates.rs
@@ -28,12 +28,13 @@
 impl Process {
     pub(super) fn confirm_up_to_date(&mut self, now: Timestamp) {
         self.dispatcher.confirm_up_to_date(now, &mut self.effects);
-        self.carry_out();
+        self.execute_effects();
     }
 
     pub(super) fn change_watcher_role(&mut self, change: RoleChange) {
         let watching = change == RoleChange::Begin;
-        info!(self.log, "store watcher role changed"; "watching" => watching, "age_ms" => millis(self.fleet.watcher_role().age(self.now())));
+        info!(self.log, "store watcher role changed"; "watching" => watching,
+            "age_ms" => millis(self.fleet.watcher_role().age(self.now())));
         let after = if self.dispatcher.directory().is_synced() { self.dispatcher.directory().revision() } else { 0 };
         self.reader_mode.send_replace(if watching { StoreReaderMode::Watch { after } } else { StoreReaderMode::Idle });
     }
@@ -80,7 +81,7 @@
             let peer_delta = self.dispatcher.directory().delta_for_peers(delta);
             let peer_delta = peers::fits_push(&peer_delta).then(|| Arc::new(peer_delta));
             let effects = if delta.is_snapshot { Vec::new() } else { self.fleet.push(now, revision, peer_delta) };
-            self.carry_out_fleet(effects);
+            self.execute_fleet_effects(effects);
         }
     }
 
@@ -108,9 +109,9 @@
         self.counts.pulls += 1;
         self.confirm_up_to_date(now);
         let effects = self.fleet.add_members(now, &handover.members);
-        self.carry_out_fleet(effects);
+        self.execute_fleet_effects(effects);
         let changed = self.dispatcher.apply_handover(now, handover, &mut self.effects);
-        self.carry_out();
+        self.execute_effects();
         if changed {
             self.log_update(&handover.delta, "handover", elapsed);
         }
@@ -139,7 +140,7 @@
 
     pub(super) fn apply_delta(&mut self, now: Timestamp, delta: &Delta, from: &'static str) {
         let changed = self.dispatcher.apply_delta(now, delta, &mut self.effects);
-        self.carry_out();
+        self.execute_effects();
         if changed {
             self.log_update(delta, from, Duration::ZERO);
         }
--- a/crates/direct/src/reload.rs
+++ b/crates/direct/src/reload.rs
@@ -43,9 +43,10 @@
             }
             Ok(settings) => {
                 let old = &self.settings;
-                let moved = (old.packets, old.ready, old.peers) != (settings.packets, settings.ready, settings.peers);
+                let addresses_changed = (old.packet_address, old.ready_address, old.peers)
+                    != (settings.packet_address, settings.ready_address, settings.peers);
                 info!(log, "settings reloaded"; "signalled" => signalled, "changed" => *old != settings);
-                if moved {
+                if addresses_changed {
                     warn!(log, "addresses changed; they take effect at the next start");
                 }
                 self.settings = settings;
