--- a/crates/core/src/direct/fleet/mod.rs
+++ b/crates/core/src/direct/fleet/mod.rs
@@ -259,7 +259,7 @@
     }
 
     /// Handles a datagram received from another instance.
-    pub fn frame(&mut self, now: Timestamp, frame: Frame, revision: Revision) -> Vec<FleetEffect> {
+    pub fn handle_datagram(&mut self, now: Timestamp, frame: Frame, revision: Revision) -> Vec<FleetEffect> {
         let (sender, message) = match frame {
             Frame::LoadReport(report) => return vec![FleetEffect::ApplyLoadReport(report)],
             Frame::WithSender { sender, message } => (sender, message),
--- a/crates/core/src/direct/fleet/store_updates.rs
+++ b/crates/core/src/direct/fleet/store_updates.rs
@@ -51,7 +51,7 @@
 impl Fleet {
     /// Returns the messages that announce a change of the store to all instances. `delta` is included only if it fits
     /// in a datagram.
-    pub fn push(&mut self, now: Timestamp, revision: Revision, delta: Option<Arc<Delta>>) -> Vec<FleetEffect> {
+    pub fn publish_delta(&mut self, now: Timestamp, revision: Revision, delta: Option<Arc<Delta>>) -> Vec<FleetEffect> {
         self.watcher_role.announce_now(now);
         let Some(announcement) = self.watcher_role.announcement(now, revision) else { return Vec::new() };
         self.broadcast(announcement, revision, delta)
--- a/crates/core/tests/direct/fleet.rs
+++ b/crates/core/tests/direct/fleet.rs
@@ -625,7 +625,7 @@
             Event::PeerFrame(index, incarnation, frame) if self.is_current_run(index, incarnation) => {
                 let effects = self.with(index, |instance, now, _| {
                     let revision = instance.dispatcher.directory().revision();
-                    instance.fleet.frame(now, *frame, revision)
+                    instance.fleet.handle_datagram(now, *frame, revision)
                 });
                 self.carry_out_fleet_effects(index, effects.unwrap_or_default());
             }
--- a/crates/core/tests/direct/members.rs
+++ b/crates/core/tests/direct/members.rs
@@ -229,7 +229,7 @@
         }
         let revision = instance.revision;
         let effects = match event {
-            Event::Datagram { frame, .. } => instance.fleet.frame(now, *frame, revision),
+            Event::Datagram { frame, .. } => instance.fleet.handle_datagram(now, *frame, revision),
             Event::HandoverReceived { from, .. } => return self.handover_received(index, from),
             Event::StoreAnswered { .. } => return self.store_answered(index),
             Event::Start(_) | Event::Tick(..) => {
@@ -263,7 +263,7 @@
             let sent_delta = fits_datagram.then(|| Arc::new(delta.clone()));
             let instance = self.instances[index].as_mut().unwrap();
             instance.fleet.watcher_role_mut().answered(now);
-            let effects = instance.fleet.push(now, revision, sent_delta);
+            let effects = instance.fleet.publish_delta(now, revision, sent_delta);
             self.carry_out(index, effects);
         }
     }
--- a/crates/core/tests/direct/watching.rs
+++ b/crates/core/tests/direct/watching.rs
@@ -192,7 +192,7 @@
                             continue;
                         }
                         let revision = peers[index].revision;
-                        let effects = peers[index].fleet.frame(*now, frame.clone(), revision);
+                        let effects = peers[index].fleet.handle_datagram(*now, frame.clone(), revision);
                         pending_effects.extend(effects.into_iter().map(|effect| (index, effect)));
                     }
                 }
--- a/crates/direct/src/process.rs
+++ b/crates/direct/src/process.rs
@@ -258,7 +258,7 @@
         for _ in 0..READ_BATCH {
             let Some(frame) = self.peers.read() else { return };
             let now = self.now();
-            let effects = self.fleet.frame(now, frame, self.dispatcher.directory().revision());
+            let effects = self.fleet.handle_datagram(now, frame, self.dispatcher.directory().revision());
             self.execute_fleet_effects(effects);
         }
     }
--- a/crates/direct/src/process/store_updates.rs
+++ b/crates/direct/src/process/store_updates.rs
@@ -80,7 +80,8 @@
             // A snapshot is large and follows a gap in the watch. It is only announced, and instances that lack it pull it.
             let peer_delta = self.dispatcher.directory().delta_for_peers(delta);
             let peer_delta = peers::fits_push(&peer_delta).then(|| Arc::new(peer_delta));
-            let effects = if delta.is_snapshot { Vec::new() } else { self.fleet.push(now, revision, peer_delta) };
+            let effects =
+                if delta.is_snapshot { Vec::new() } else { self.fleet.publish_delta(now, revision, peer_delta) };
             self.execute_fleet_effects(effects);
         }
     }
