--- a/crates/core/src/direct/fleet/mod.rs
+++ b/crates/core/src/direct/fleet/mod.rs
@@ -237,7 +237,7 @@
     }
 
     /// Returns the final messages to members before the process exits.
-    pub fn depart(&mut self) -> Vec<FleetEffect> {
+    pub fn announce_departure(&mut self) -> Vec<FleetEffect> {
         self.membership.depart();
         let (serving, view) = (self.serving_count(), self.membership.digest().combined_hash());
         let last = Heartbeat { sequence: 0, serving, view, revision: 0, age: Duration::ZERO, members: Vec::new() };
--- a/crates/direct/src/process.rs
+++ b/crates/direct/src/process.rs
@@ -234,7 +234,7 @@
     }
 
     fn announce_departure(&mut self) {
-        let effects = self.fleet.depart();
+        let effects = self.fleet.announce_departure();
         self.execute_fleet_effects(effects);
         info!(self.log, "stopped"; "packets" => self.callers.counts().received);
     }
