--- a/crates/core/src/direct/fleet/change_log.rs
+++ b/crates/core/src/direct/fleet/change_log.rs
@@ -35,7 +35,7 @@
 
 impl ChangeLog {
     /// Records the instances that serve now.
-    pub fn note(&mut self, serving: &[InstanceId]) {
+    pub fn record(&mut self, serving: &[InstanceId]) {
         self.serving = serving.iter().copied().collect();
     }
 
--- a/crates/core/src/health.rs
+++ b/crates/core/src/health.rs
@@ -49,7 +49,7 @@
 
 impl TargetStatusCache {
     /// Records an update and returns whether it changes the known status.
-    pub fn note(&mut self, now: Timestamp, update: TargetStatusUpdate) -> bool {
+    pub fn record(&mut self, now: Timestamp, update: TargetStatusUpdate) -> bool {
         let before = self.statuses.insert(update.target, (update.status, now));
         before.map(|(status, _)| status) != Some(update.status)
     }
--- a/crates/core/src/node/messages.rs
+++ b/crates/core/src/node/messages.rs
@@ -98,7 +98,7 @@
     ) {
         self.membership.merge_updates(now, &heartbeat.members);
         for updates in heartbeat.targets {
-            if self.health.note(now, updates) {
+            if self.health.record(now, updates) {
                 out.push(Output::Notice(Notice::TargetChanged { target: updates.target, status: updates.status }));
             }
         }
@@ -162,7 +162,7 @@
         // The changes apply to this instance's own flows first.
         let now = self.last_input;
         for update in &updates {
-            self.health.note(now, *update);
+            self.health.record(now, *update);
         }
         let domain = self.membership.me().failure_domain.clone();
         let same_domain = self.membership.reachable().filter(|update| update.failure_domain == domain);
--- a/crates/core/tests/direct/convergence.rs
+++ b/crates/core/tests/direct/convergence.rs
@@ -151,7 +151,7 @@
     let (mut lines, mut known_count) = (Vec::new(), 0_usize);
     for step in 0..200_u32 {
         let serving: Vec<InstanceId> = (0..(step * 17) % 300).collect();
-        log.note(&serving);
+        log.record(&serving);
         lines.extend(log.due(ms(u64::from(step) * 50)));
     }
     assert!(lines.len() <= 10, "{}", lines.len());
--- a/crates/direct/src/process.rs
+++ b/crates/direct/src/process.rs
@@ -331,7 +331,7 @@
 
     fn fleet_changed(&mut self) {
         let serving = self.fleet.serving();
-        self.changes.note(&serving);
+        self.changes.record(&serving);
         self.dispatcher.set_members(self.now(), serving, self.fleet.group_ids(), self.fleet.is_one_group());
         self.group_addresses = self.fleet.group();
     }
