--- a/crates/core/src/direct/watch.rs
+++ b/crates/core/src/direct/watch.rs
@@ -32,9 +32,9 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RoleChange {
     /// Start watching.
-    Begin,
+    Start,
     /// Stop watching.
-    End,
+    Stop,
 }
 
 /// This instance's state in the selection of the watcher.
@@ -92,7 +92,7 @@
     }
 
     /// Records an answer of the store.
-    pub fn answered(&mut self, now: Timestamp) {
+    pub fn record_store_answer(&mut self, now: Timestamp) {
         self.last_answer = Some(now);
         self.last_fresh = now;
     }
@@ -126,7 +126,7 @@
         let stale = self.last_answer.is_none_or(|at| now.saturating_sub(at) > MAX_ANSWER_AGE);
         if self.watching && (ranks_before || stale || self.leaving) {
             self.watching = false;
-            return Some(RoleChange::End);
+            return Some(RoleChange::Stop);
         }
         None
     }
@@ -151,12 +151,12 @@
         if now.saturating_sub(self.last_fresh) < timeout {
             return None;
         }
-        self.begin(now);
-        Some(RoleChange::Begin)
+        self.start(now);
+        Some(RoleChange::Start)
     }
 
     /// Starts to watch regardless of the other instances.
-    pub fn begin(&mut self, now: Timestamp) {
+    pub fn start(&mut self, now: Timestamp) {
         self.watching = true;
         self.next_announcement = now;
     }
--- a/crates/core/tests/direct/members.rs
+++ b/crates/core/tests/direct/members.rs
@@ -262,7 +262,7 @@
             let (now, revision) = (self.now, self.store_revision);
             let sent_delta = fits_datagram.then(|| Arc::new(delta.clone()));
             let instance = self.instances[index].as_mut().unwrap();
-            instance.fleet.watcher_role_mut().answered(now);
+            instance.fleet.watcher_role_mut().record_store_answer(now);
             let effects = instance.fleet.publish_delta(now, revision, sent_delta);
             self.carry_out(index, effects);
         }
@@ -302,7 +302,7 @@
         self.advance_to(index, self.store_revision);
         let now = self.now;
         if let Some(instance) = &mut self.instances[index] {
-            instance.fleet.watcher_role_mut().answered(now);
+            instance.fleet.watcher_role_mut().record_store_answer(now);
         }
     }
 
--- a/crates/core/tests/direct/watching.rs
+++ b/crates/core/tests/direct/watching.rs
@@ -24,7 +24,7 @@
     store_answers: Vec<bool>,
     up: Vec<bool>,
     now: Timestamp,
-    begin_count: usize,
+    start_count: usize,
 }
 
 impl Group {
@@ -35,7 +35,7 @@
             store_answers: vec![true; count],
             up: vec![true; count],
             now: Timestamp::ZERO,
-            begin_count: 0,
+            start_count: 0,
         }
     }
 
@@ -55,9 +55,9 @@
             }
             let rank = u32::try_from(self.up[..index].iter().filter(|up| **up).count()).unwrap();
             let watcher_role = &mut self.watcher_roles[index];
-            self.begin_count += usize::from(watcher_role.tick(self.now, rank) == Some(RoleChange::Begin));
+            self.start_count += usize::from(watcher_role.tick(self.now, rank) == Some(RoleChange::Start));
             if watcher_role.is_watching() && self.store_answers[index] {
-                watcher_role.answered(self.now);
+                watcher_role.record_store_answer(self.now);
             }
             announcements.extend(watcher_role.announcement(self.now, 5).map(|announcement| (index, announcement)));
         }
@@ -88,7 +88,7 @@
     let mut group = Group::new(9);
     group.run(Duration::from_secs(10));
     assert_eq!(group.watching(), [0]);
-    assert_eq!(group.begin_count, 1);
+    assert_eq!(group.start_count, 1);
 }
 
 /// The watcher dies. Operators' changes must take effect within three seconds, so another instance must take over well
@@ -100,7 +100,7 @@
     group.up[0] = false;
     group.run(ms(1_500));
     assert_eq!(group.watching(), [1]);
-    assert_eq!(group.begin_count, 2);
+    assert_eq!(group.start_count, 2);
 }
 
 /// The store refuses the watcher and serves the others. The watcher's announcements become stale and another instance
@@ -112,7 +112,7 @@
     group.store_answers[0] = false;
     group.run(ms(2_600));
     assert_eq!(group.watching(), [1]);
-    assert!(group.begin_count <= 3, "{}", group.begin_count);
+    assert!(group.start_count <= 3, "{}", group.start_count);
 }
 
 /// A watcher that shuts down as planned must hand over at once.
@@ -146,13 +146,13 @@
 fn an_instance_that_can_ask_a_watcher_does_not_call_the_store() {
     let mut watcher_role = WatcherRole::new(Timestamp::ZERO);
     assert!(watcher_role.should_read());
-    watcher_role.begin(ms(20));
+    watcher_role.start(ms(20));
     assert!(!watcher_role.should_read());
     let announcement = Announcement { revision: 5, age: ms(1), leaving: false };
-    assert_eq!(watcher_role.receive(ms(30), 7, &announcement, true), Some(RoleChange::End));
+    assert_eq!(watcher_role.receive(ms(30), 7, &announcement, true), Some(RoleChange::Stop));
     assert!(!watcher_role.should_read());
     assert_eq!(watcher_role.tick(ms(500), 0), None);
-    assert_eq!(watcher_role.tick(ms(1_100), 0), Some(RoleChange::Begin));
+    assert_eq!(watcher_role.tick(ms(1_100), 0), Some(RoleChange::Start));
 }
 
 /// An instance with its store revision and the addresses that it pulled from.
@@ -178,7 +178,7 @@
 fn run_peers(peers: &mut [Peer; 3], now: &mut Timestamp, end: Timestamp) {
     while *now < end {
         *now += STEP_DURATION;
-        peers[0].fleet.watcher_role_mut().answered(*now);
+        peers[0].fleet.watcher_role_mut().record_store_answer(*now);
         let mut pending_effects: Vec<(usize, FleetEffect)> = Vec::new();
         for (index, peer) in peers.iter_mut().enumerate() {
             let revision = peer.revision;
@@ -211,7 +211,7 @@
 fn an_instance_that_the_watcher_does_not_reach_pulls_from_another() {
     let mut peers = [peer(0), peer(1), peer(2)];
     let mut now = Timestamp::ZERO;
-    peers[0].fleet.watcher_role_mut().begin(now);
+    peers[0].fleet.watcher_role_mut().start(now);
     run_peers(&mut peers, &mut now, Duration::from_secs(3));
     assert_eq!(peers[2].pulled_from, []);
     peers[0].revision = 7;
--- a/crates/direct/src/process/store_updates.rs
+++ b/crates/direct/src/process/store_updates.rs
@@ -32,7 +32,7 @@
     }
 
     pub(super) fn change_watcher_role(&mut self, change: RoleChange) {
-        let watching = change == RoleChange::Begin;
+        let watching = change == RoleChange::Start;
         info!(self.log, "store watcher role changed"; "watching" => watching,
             "age_ms" => millis(self.fleet.watcher_role().age(self.now())));
         let after = if self.dispatcher.directory().is_synced() { self.dispatcher.directory().revision() } else { 0 };
@@ -72,7 +72,7 @@
         if std::mem::take(&mut self.is_store_unavailable) {
             info!(self.log, "store available again"; "revision" => delta.revision);
         }
-        self.fleet.watcher_role_mut().answered(now);
+        self.fleet.watcher_role_mut().record_store_answer(now);
         self.apply_delta(now, delta, "store");
         self.confirm_up_to_date(now);
         if !delta.entries.is_empty() {
@@ -162,8 +162,8 @@
             self.pull(peer);
         }
         if self.bootstrap.should_read_store(now, self.fleet.rank(), self.fleet.watcher_role()) {
-            self.fleet.watcher_role_mut().begin(now);
-            self.change_watcher_role(RoleChange::Begin);
+            self.fleet.watcher_role_mut().start(now);
+            self.change_watcher_role(RoleChange::Start);
         }
     }
 }
