--- a/crates/adapters/src/engine.rs
+++ b/crates/adapters/src/engine.rs
@@ -179,7 +179,7 @@
                 let engine = Arc::clone(self);
                 self.spawn(async move { engine.read_platform(read).await });
             }
-            Output::Probe { target, address } => {
+            Output::CheckHealth { target, address } => {
                 let engine = Arc::clone(self);
                 self.spawn(async move { engine.check_health(target, address).await });
             }
--- a/crates/adapters/src/probe.rs
+++ b/crates/adapters/src/health_check.rs
@@ -34,6 +34,6 @@
         let report = answer.ok().filter(|answer| answer.status.is_success());
         let health = report.and_then(|answer| serde_json::from_slice::<HealthAnswer>(&answer.body).ok());
         let load = health.as_ref().and_then(|health| health.running);
-        self.handle_input(Input::Probed { target, report: health.map(|health| health.state), load });
+        self.handle_input(Input::HealthChecked { target, report: health.map(|health| health.state), load });
     }
 }
--- a/crates/adapters/src/lib.rs
+++ b/crates/adapters/src/lib.rs
@@ -3,7 +3,7 @@
 //! The core makes all decisions; this package performs the I/O and runs the timers. Each module is one adapter:
 //!
 //! - for callers: [`datagrams`], [`streams`] and [`requests`];
-//! - for targets: [`execute`] and [`probe`], and the sockets of [`datagrams`] and [`streams`];
+//! - for targets: [`execute`] and [`health_check`], and the sockets of [`datagrams`] and [`streams`];
 //! - between instances: [`peers`] for messages and forwarded requests, [`wire`] for forwarded packets;
 //! - for the platform: [`platform`];
 //! - for operators: [`admin`], [`logs`] and [`metrics`].
@@ -16,6 +16,7 @@
 pub mod datagrams;
 pub mod engine;
 pub mod execute;
+pub mod health_check;
 pub mod http_client;
 pub mod instance;
 pub mod listeners;
@@ -24,7 +25,6 @@
 pub mod payload;
 pub mod peers;
 pub mod platform;
-pub mod probe;
 pub mod requests;
 pub mod streams;
 pub mod web;
--- a/crates/core/benches/support/mod.rs
+++ b/crates/core/benches/support/mod.rs
@@ -100,8 +100,12 @@
         now += TICK_PERIOD;
         node.handle(now, Input::Tick, &mut out);
         for output in std::mem::take(&mut out) {
-            if let Output::Probe { target, .. } = output {
-                node.handle(now, Input::Probed { target, report: Some(HealthReport::Warm), load: None }, &mut out);
+            if let Output::CheckHealth { target, .. } = output {
+                node.handle(
+                    now,
+                    Input::HealthChecked { target, report: Some(HealthReport::Warm), load: None },
+                    &mut out,
+                );
             }
         }
     }
--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -80,7 +80,7 @@
     /// A read of the platform failed or returned unusable data.
     PlatformFailed(Resource),
     /// A health check has finished.
-    Probed {
+    HealthChecked {
         /// The target.
         target: TargetId,
         /// State reported by the target; `None` if the check failed.
@@ -194,7 +194,7 @@
     /// Read a resource from the platform.
     ReadPlatform(PlatformRead),
     /// Check a target's health.
-    Probe {
+    CheckHealth {
         /// The target.
         target: TargetId,
         /// Address of the target's health endpoint.
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -177,7 +177,7 @@
                 let watches = PlatformReader::watches(&self.view, self.membership.me());
                 self.platform.failed(now, resource, watches, &mut self.rng);
             }
-            Input::Probed { target, report, load } => {
+            Input::HealthChecked { target, report, load } => {
                 self.coordinator.record_reported_load(target, load);
                 self.record_health_check(now, target, report, out);
             }
@@ -290,7 +290,7 @@
     fn tick_health_checks(&mut self, now: Timestamp, out: &mut Vec<Output>) {
         for id in self.coordinator.due_health_checks(now, &mut self.rng) {
             if let Some(target) = self.view.catalog().target(id) {
-                out.push(Output::Probe { target: id, address: target.health });
+                out.push(Output::CheckHealth { target: id, address: target.health });
             }
         }
     }
--- a/crates/core/tests/support/world.rs
+++ b/crates/core/tests/support/world.rs
@@ -598,7 +598,7 @@
                     self.answer_read(id, read, false);
                 }
             }
-            Output::Probe { target, address } => self.check_health(id, target, address),
+            Output::CheckHealth { target, address } => self.check_health(id, target, address),
             Output::ForwardRequest { request, to, address, head } => {
                 let delay = self.delay();
                 let event = Event::ForwardedRequest { from: id, epoch, request, address, to, head: Box::new(head) };
@@ -722,7 +722,7 @@
         let delay = self.delay() * 2;
         self.schedule(
             delay,
-            Event::Deliver { id, epoch, input: Box::new(Input::Probed { target, report, load: None }) },
+            Event::Deliver { id, epoch, input: Box::new(Input::HealthChecked { target, report, load: None }) },
         );
     }
 
