--- a/crates/core/src/flows/mod.rs
+++ b/crates/core/src/flows/mod.rs
@@ -453,7 +453,7 @@
         if fenced {
             return self.drop(DropReason::Fenced);
         }
-        let Some((key, seat)) = self.table.find_by_channel(now, target, local_port, self.unconfirmed_before) else {
+        let Some((key, seat)) = self.table.find_by_local_port(now, target, local_port, self.unconfirmed_before) else {
             return self.drop(DropReason::NoFlow);
         };
         if seat.block().is_some() {
--- a/crates/core/src/flows/table.rs
+++ b/crates/core/src/flows/table.rs
@@ -473,7 +473,7 @@
     ///
     /// Does not return a flow whose last packet was before `unconfirmed_before`, because another instance may hold it
     /// by now.
-    pub fn find_by_channel(
+    pub fn find_by_local_port(
         &mut self,
         now: Timestamp,
         target: SocketAddr,
--- a/crates/core/tests/targets.rs
+++ b/crates/core/tests/targets.rs
@@ -98,7 +98,7 @@
     table.remove(now, &key(1));
     let second = table.insert_here(now + Duration::from_secs(30), key(2), &descriptor, 0).unwrap();
     assert_ne!(first, second);
-    assert!(table.find_by_channel(now, descriptor.address, first, None).is_none());
+    assert!(table.find_by_local_port(now, descriptor.address, first, None).is_none());
     let third = table.insert_here(now + Duration::from_secs(61), key(3), &descriptor, 0).unwrap();
     assert_eq!(first, third);
 }
