--- a/crates/core/src/flows/advertise.rs
+++ b/crates/core/src/flows/advertise.rs
@@ -117,18 +117,18 @@
         let end = table.slab_len().min(start + SCAN_RECORDS_PER_TICK);
         let handover = !cx.view.serves(me);
         for position in start..end {
-            let Some(HeldFlow { service, seat, descriptor }) = table.held_at(now, position) else { continue };
+            let Some(HeldFlow { service, binding, descriptor }) = table.held_at(now, position) else { continue };
             let Some(service) = cx.view.catalog().service(service) else { continue };
-            if !cx.view.catalog().domain_in_service(&table.seat(seat).descriptor().failure_domain) {
+            if !cx.view.catalog().domain_in_service(&table.binding(binding).descriptor().failure_domain) {
                 continue;
             }
             let key = FlowKey { service: service.id, caller: descriptor.caller };
             let Some(home) = cx.view.home(key.hash64(), service).filter(|home| *home != me) else { continue };
             self.has_misplaced = true;
-            self.backlog.entry((home, seat, handover)).or_default().push(descriptor);
+            self.backlog.entry((home, binding, handover)).or_default().push(descriptor);
             let standby = cx.view.standby(key.hash64(), service, home).filter(|standby| *standby != me && !handover);
             if let Some(standby) = standby {
-                self.backlog.entry((standby, seat, false)).or_default().push(descriptor);
+                self.backlog.entry((standby, binding, false)).or_default().push(descriptor);
             }
         }
         self.cursor = (end < table.slab_len()).then_some(end);
@@ -153,18 +153,18 @@
     fn send(&mut self, now: Timestamp, table: &FlowTable, messages: &mut Vec<(InstanceId, FlowBatch)>) {
         while self.pending.len() < MAX_PENDING_BATCHES {
             let Some(mut entry) = self.backlog.first_entry() else { return };
-            let (to, seat, handover) = *entry.key();
+            let (to, binding, handover) = *entry.key();
             let split_at = entry.get().len().saturating_sub(MAX_BATCH_FLOWS);
             let flows = entry.get_mut().split_off(split_at);
             if entry.get().is_empty() {
                 entry.remove();
             }
             self.next_sequence += 1;
-            let seat = table.seat(seat);
+            let binding = table.binding(binding);
             let batch = FlowBatch {
                 sequence: self.next_sequence,
-                service: seat.service(),
-                target: seat.descriptor().clone(),
+                service: binding.service(),
+                target: binding.descriptor().clone(),
                 handover,
                 flows,
             };
--- a/crates/core/src/flows/mod.rs
+++ b/crates/core/src/flows/mod.rs
@@ -266,9 +266,9 @@
         invariant_counters: &mut InvariantCounters,
     ) -> Option<PacketAction> {
         match found.holder {
-            Holder::Here { seat, local_port } => {
+            Holder::Here { binding, local_port } => {
                 let queried = found.unconfirmed.then(|| self.query_earlier_home(packet, packet.key.hash64(), cx));
-                queried.flatten().or_else(|| self.send_held(packet, seat, local_port, cx, invariant_counters))
+                queried.flatten().or_else(|| self.send_held(packet, binding, local_port, cx, invariant_counters))
             }
             Holder::Instance(holder) => self.send_to_holder(packet, holder, cx),
         }
@@ -279,24 +279,24 @@
     fn send_held(
         &mut self,
         packet: Packet,
-        seat: BindingIndex,
+        binding: BindingIndex,
         local_port: LocalPort,
         cx: FlowContext<'_>,
         invariant_counters: &mut InvariantCounters,
     ) -> Option<PacketAction> {
-        let seat = self.table.seat(seat);
-        if seat.block().is_some() {
+        let binding = self.table.binding(binding);
+        if binding.block().is_some() {
             self.table.remove(packet.now, &packet.key);
             self.counts.given_up += 1;
             return None;
         }
-        invariant_counters.assert(seat.service() == packet.key.service, Invariant::PacketStaysWithService);
+        invariant_counters.assert(binding.service() == packet.key.service, Invariant::PacketStaysWithService);
         if cfg!(debug_assertions) {
             // This look-up is too slow for every packet in release builds, which rely on `block` alone.
-            let in_service = cx.view.catalog().domain_in_service(&seat.descriptor().failure_domain);
+            let in_service = cx.view.catalog().domain_in_service(&binding.descriptor().failure_domain);
             invariant_counters.assert(in_service, Invariant::OutDomainSilent);
         }
-        Some(PacketAction::ToTarget { local_port, target: seat.descriptor().address })
+        Some(PacketAction::ToTarget { local_port, target: binding.descriptor().address })
     }
 
     /// Forwards a packet to the instance that holds its flow. If the holder cannot be used, removes the record and
@@ -453,13 +453,14 @@
         if fenced {
             return self.drop(DropReason::Fenced);
         }
-        let Some((key, seat)) = self.table.find_by_local_port(now, target, local_port, self.unconfirmed_before) else {
+        let Some((key, binding)) = self.table.find_by_local_port(now, target, local_port, self.unconfirmed_before)
+        else {
             return self.drop(DropReason::NoFlow);
         };
-        if seat.block().is_some() {
+        if binding.block().is_some() {
             return self.drop(DropReason::DomainOut);
         }
-        let id = seat.descriptor().id;
+        let id = binding.descriptor().id;
         if let Some(slow_start) = self.slow_starts.get_mut(&id) {
             slow_start.record_success(1);
         }
--- a/crates/core/src/flows/table.rs
+++ b/crates/core/src/flows/table.rs
@@ -46,7 +46,7 @@
     /// This instance.
     Here {
         /// The binding of the flow's target.
-        seat: BindingIndex,
+        binding: BindingIndex,
         /// The local port from which packets go to the target.
         local_port: LocalPort,
     },
@@ -58,7 +58,7 @@
 enum RecordState {
     Vacant,
     Here {
-        seat: BindingIndex,
+        binding: BindingIndex,
         local_port: LocalPort,
     },
     Elsewhere {
@@ -66,7 +66,7 @@
     },
     /// Another instance holds the flow now; only answers from the target are still passed on.
     HandedOver {
-        seat: BindingIndex,
+        binding: BindingIndex,
         local_port: LocalPort,
     },
 }
@@ -107,7 +107,7 @@
     /// Service of the flow.
     pub service: ServiceId,
     /// Binding of the flow's target.
-    pub seat: BindingIndex,
+    pub binding: BindingIndex,
     /// Descriptor of the flow for an advertisement or a handover.
     pub descriptor: FlowDescriptor,
 }
@@ -267,7 +267,7 @@
 
     /// Returns a target binding.
     #[must_use]
-    pub fn seat(&self, index: BindingIndex) -> &TargetBinding {
+    pub fn binding(&self, index: BindingIndex) -> &TargetBinding {
         &self.bindings[index as usize]
     }
 
@@ -275,7 +275,7 @@
     #[must_use]
     pub fn held_for(&self, target: TargetId) -> u32 {
         let bindings = self.by_target.get(&target).into_iter().flatten();
-        bindings.map(|seat| self.seat(*seat).held_flows).sum()
+        bindings.map(|binding| self.binding(*binding).held_flows).sum()
     }
 
     /// Checks every target binding against a new set.
@@ -284,13 +284,13 @@
     /// another target meanwhile would move back. New flows to the same target get a new binding.
     pub fn revalidate(&mut self, catalog: &Catalog) {
         let Self { bindings, by_service_and_target, by_target, .. } = self;
-        for (index, seat) in bindings.iter_mut().enumerate().filter(|(_, seat)| seat.block.is_none()) {
-            seat.block = seat.find_block_reason(catalog);
-            if seat.block.is_none() {
+        for (index, binding) in bindings.iter_mut().enumerate().filter(|(_, binding)| binding.block.is_none()) {
+            binding.block = binding.find_block_reason(catalog);
+            if binding.block.is_none() {
                 continue;
             }
-            by_service_and_target.remove(&(seat.service, seat.descriptor.id));
-            if let Some(others) = by_target.get_mut(&seat.descriptor.id) {
+            by_service_and_target.remove(&(binding.service, binding.descriptor.id));
+            if let Some(others) = by_target.get_mut(&binding.descriptor.id) {
                 others.retain(|other| *other as usize != index);
             }
         }
@@ -301,8 +301,8 @@
     pub fn held_at(&self, now: Timestamp, position: usize) -> Option<HeldFlow> {
         let record = self.records.get(position)?;
         match record.state {
-            RecordState::Here { seat, .. } => {
-                Some(HeldFlow { service: record.key.service, seat, descriptor: record.descriptor(now) })
+            RecordState::Here { binding, .. } => {
+                Some(HeldFlow { service: record.key.service, binding, descriptor: record.descriptor(now) })
             }
             _ => None,
         }
@@ -349,15 +349,15 @@
         // Replaces a record of another holder, or of a flow that was handed over earlier.
         self.remove(now, &key);
         let slot = self.allocate_record(now, key)?;
-        let seat = self.intern_binding(key.service, target);
-        let ports = self.bindings[seat as usize].ports;
+        let binding = self.intern_binding(key.service, target);
+        let ports = self.bindings[binding as usize].ports;
         let Some(local_port) = self.ports[ports].allocate(now, slot) else {
             self.vacant.push(slot);
             return None;
         };
-        self.bindings[seat as usize].held_flows += 1;
+        self.bindings[binding as usize].held_flows += 1;
         let record = &mut self.records[slot as usize];
-        record.state = RecordState::Here { seat, local_port };
+        record.state = RecordState::Here { binding, local_port };
         record.started_ms = wrapping_millis(now).wrapping_sub(age_ms);
         self.held += 1;
         self.insert_index(&key, slot);
@@ -408,8 +408,8 @@
     }
 
     fn intern_binding(&mut self, service: ServiceId, descriptor: &TargetDescriptor) -> BindingIndex {
-        if let Some(seat) = self.by_service_and_target.get(&(service, descriptor.id)) {
-            return *seat;
+        if let Some(binding) = self.by_service_and_target.get(&(service, descriptor.id)) {
+            return *binding;
         }
         let index = BindingIndex::try_from(self.bindings.len()).unwrap_or(BindingIndex::MAX);
         let ports = self.intern_ports(descriptor.address);
@@ -438,12 +438,12 @@
     pub fn remove(&mut self, now: Timestamp, key: &FlowKey) {
         let Some(slot) = self.remove_index(key) else { return };
         match self.records[slot as usize].state {
-            RecordState::Here { seat, local_port } => {
-                self.bindings[seat as usize].held_flows -= 1;
-                self.release(now, seat, local_port);
+            RecordState::Here { binding, local_port } => {
+                self.bindings[binding as usize].held_flows -= 1;
+                self.release(now, binding, local_port);
                 self.held -= 1;
             }
-            RecordState::HandedOver { seat, local_port } => self.release(now, seat, local_port),
+            RecordState::HandedOver { binding, local_port } => self.release(now, binding, local_port),
             RecordState::Elsewhere { .. } => self.elsewhere -= 1,
             RecordState::Vacant => {}
         }
@@ -451,8 +451,8 @@
         self.vacant.push(slot);
     }
 
-    fn release(&mut self, now: Timestamp, seat: BindingIndex, local_port: LocalPort) {
-        let ports = self.bindings[seat as usize].ports;
+    fn release(&mut self, now: Timestamp, binding: BindingIndex, local_port: LocalPort) {
+        let ports = self.bindings[binding as usize].ports;
         self.ports[ports].release(now, local_port);
     }
 
@@ -461,10 +461,10 @@
     pub fn mark_handed_over(&mut self, now: Timestamp, key: &FlowKey) {
         let Some(slot) = self.find(key) else { return };
         let record = &mut self.records[slot as usize];
-        if let RecordState::Here { seat, local_port } = record.state {
-            record.state = RecordState::HandedOver { seat, local_port };
+        if let RecordState::Here { binding, local_port } = record.state {
+            record.state = RecordState::HandedOver { binding, local_port };
             record.last_packet_ms = wrapping_millis(now);
-            self.bindings[seat as usize].held_flows -= 1;
+            self.bindings[binding as usize].held_flows -= 1;
             self.held -= 1;
         }
     }
@@ -483,18 +483,18 @@
         let ports = &self.ports[*self.by_address.get(&target)?];
         let slot = (*ports.slots.get(usize::from(local_port))?)?;
         let record = &mut self.records[slot as usize];
-        let seat = match record.state {
-            RecordState::Here { seat, .. } => {
+        let binding = match record.state {
+            RecordState::Here { binding, .. } => {
                 if record.is_unconfirmed(now, unconfirmed_before) {
                     return None;
                 }
                 record.last_packet_ms = wrapping_millis(now);
-                seat
+                binding
             }
-            RecordState::HandedOver { seat, .. } => seat,
+            RecordState::HandedOver { binding, .. } => binding,
             RecordState::Elsewhere { .. } | RecordState::Vacant => return None,
         };
-        Some((record.key, &self.bindings[seat as usize]))
+        Some((record.key, &self.bindings[binding as usize]))
     }
 
     /// Scans a slice of the slab and removes the flows that have reached their idle timeout; `idle_timeout` returns
@@ -526,7 +526,7 @@
 
 fn holder(state: RecordState) -> Option<Holder> {
     match state {
-        RecordState::Here { seat, local_port } => Some(Holder::Here { seat, local_port }),
+        RecordState::Here { binding, local_port } => Some(Holder::Here { binding, local_port }),
         RecordState::Elsewhere { holder } => Some(Holder::Instance(holder)),
         RecordState::Vacant | RecordState::HandedOver { .. } => None,
     }
--- a/crates/core/tests/targets.rs
+++ b/crates/core/tests/targets.rs
@@ -121,7 +121,7 @@
     let mut table = FlowTable::new(100);
     let now = Duration::from_secs(1);
     let is_closed = |table: &mut FlowTable, last_octet| match table.touch(now, &key(last_octet), None).unwrap().holder {
-        Holder::Here { seat, .. } => table.seat(seat).block().is_some(),
+        Holder::Here { binding, .. } => table.binding(binding).block().is_some(),
         Holder::Instance(_) => panic!("the flow is held here"),
     };
     table.insert_here(now, key(1), &descriptor, 0).unwrap();
