--- a/crates/core/src/backoff.rs
+++ b/crates/core/src/backoff.rs
@@ -7,6 +7,6 @@
 
 /// Returns `initial` doubled `doublings` times, up to `max`.
 #[must_use]
-pub(crate) fn doubled(initial: Duration, doublings: u32, max: Duration) -> Duration {
+pub(crate) fn exponential_backoff(initial: Duration, doublings: u32, max: Duration) -> Duration {
     initial.saturating_mul(1 << doublings.min(MAX_DOUBLINGS)).min(max)
 }
--- a/crates/core/src/direct/failures.rs
+++ b/crates/core/src/direct/failures.rs
@@ -97,7 +97,7 @@
         if record.failure_rate < EJECTION_FAILURE_RATE || now < record.ejected_until {
             return false;
         }
-        let ejection_time = backoff::doubled(BASE_EJECTION_TIME, record.ejections, MAX_EJECTION_TIME);
+        let ejection_time = backoff::exponential_backoff(BASE_EJECTION_TIME, record.ejections, MAX_EJECTION_TIME);
         record.ejections += 1;
         record.failure_rate = RETRIAL_FAILURE_RATE;
         record.ejected_until = now + ejection_time;
--- a/crates/core/src/direct/outlier.rs
+++ b/crates/core/src/direct/outlier.rs
@@ -185,7 +185,7 @@
         let doublings = record.failed_handshakes.saturating_sub(SUSPECT_AFTER_FAILURES);
         let avoidance = match record.failed_handshakes {
             1 => SINGLE_FAILURE_AVOIDANCE,
-            _ => backoff::doubled(BASE_AVOIDANCE, doublings, MAX_AVOIDANCE),
+            _ => backoff::exponential_backoff(BASE_AVOIDANCE, doublings, MAX_AVOIDANCE),
         };
         record.avoid_until = record.avoid_until.max(now + avoidance);
         if record.is_suspected() {
--- a/crates/core/src/direct/reachability.rs
+++ b/crates/core/src/direct/reachability.rs
@@ -291,8 +291,11 @@
         }
         // The second check follows immediately. After that, other instances have responded or cannot be reached
         // either.
-        let delay =
-            backoff::doubled(RECHECK_FIRST, record.failed.saturating_sub(FAILED_CHECKS_WHEN_ALONE), RECHECK_MAX);
+        let delay = backoff::exponential_backoff(
+            RECHECK_FIRST,
+            record.failed.saturating_sub(FAILED_CHECKS_WHEN_ALONE),
+            RECHECK_MAX,
+        );
         record.next_check = if record.failed < FAILED_CHECKS_WHEN_ALONE { now } else { now + delay };
         if record.out_of_reach { Finding::StillOutOfReach } else { Finding::Failed }
     }
--- a/crates/core/src/platform.rs
+++ b/crates/core/src/platform.rs
@@ -111,7 +111,7 @@
         let Some(schedule) = self.schedules.get_mut(&resource) else { return };
         schedule.pending_since = None;
         let max_backoff = if watches { MAX_WATCHER_BACKOFF } else { MAX_READER_BACKOFF };
-        let delay = backoff::doubled(INITIAL_BACKOFF, schedule.failures, max_backoff);
+        let delay = backoff::exponential_backoff(INITIAL_BACKOFF, schedule.failures, max_backoff);
         schedule.failures = schedule.failures.saturating_add(1);
         schedule.next_read_at = now + delay.mul_f64(rng.random_range(0.5..1.0));
     }
