--- a/crates/adapters/src/logs.rs
+++ b/crates/adapters/src/logs.rs
@@ -69,6 +69,6 @@
 }
 
 /// Creates a logger that discards all records.
-pub fn silent() -> Logger {
+pub fn discard_logger() -> Logger {
     Logger::root(slog::Discard, slog::o!())
 }
--- a/crates/cli/src/demo/cluster.rs
+++ b/crates/cli/src/demo/cluster.rs
@@ -211,7 +211,7 @@
         // The incarnation is the start time, here in microseconds so that it differs even after a quick restart.
         let incarnation = u64::try_from(self.start.elapsed().as_micros()).unwrap_or(u64::MAX) + 1;
         let domain = domain_of_instance(id).to_owned();
-        let config = Config::new(id, incarnation, domain, addresses, self.platform.address(), logs::silent());
+        let config = Config::new(id, incarnation, domain, addresses, self.platform.address(), logs::discard_logger());
         let instance = Instance::new(config.listen(Some(ip))).start().await?;
         self.instances.insert(id, instance);
         self.list_instances()?;
