--- a/crates/adapters/src/http_client.rs
+++ b/crates/adapters/src/http_client.rs
@@ -71,7 +71,8 @@
     Ok(sender)
 }
 
-/// Sends a request on a connection and reads the complete answer, whose body may have at most `limit` bytes.
+/// Sends a request on a connection and reads the complete answer, whose body may have at most `max_answer_bytes`
+/// bytes.
 ///
 /// # Errors
 ///
@@ -79,11 +80,11 @@
 pub async fn exchange(
     sender: &mut SendRequest<Full<Bytes>>,
     request: Request<Full<Bytes>>,
-    limit: usize,
+    max_answer_bytes: usize,
 ) -> Result<Response, ExchangeError> {
     let response = sender.send_request(request).await?;
     let (parts, body) = response.into_parts();
-    let body = Limited::new(body, limit).collect().await;
+    let body = Limited::new(body, max_answer_bytes).collect().await;
     let body = body.map_err(|error| ExchangeError::Incomplete(error.to_string()))?;
     Ok(Response { status: parts.status, headers: parts.headers, body: body.to_bytes() })
 }
@@ -104,15 +105,15 @@
     /// Limit on the time of the whole exchange, including the connect.
     pub timeout: Duration,
     /// Maximum size of the answer's body, in bytes.
-    pub limit: usize,
+    pub max_answer_bytes: usize,
 }
 
 impl Call {
     /// Creates a `GET` request without headers and body.
     #[must_use]
-    pub fn get(address: SocketAddr, path: impl Into<String>, timeout: Duration, limit: usize) -> Self {
+    pub fn get(address: SocketAddr, path: impl Into<String>, timeout: Duration, max_answer_bytes: usize) -> Self {
         let (method, path) = (Method::GET, path.into());
-        Self { address, method, path, headers: HeaderMap::new(), body: Bytes::new(), timeout, limit }
+        Self { address, method, path, headers: HeaderMap::new(), body: Bytes::new(), timeout, max_answer_bytes }
     }
 
     /// Connects, sends the request and reads the complete answer.
@@ -129,7 +130,7 @@
     async fn send_without_timeout(self) -> Result<Response, ExchangeError> {
         let request = build(self.address, self.method, &self.path, self.headers, self.body)?;
         let mut sender = connect(self.address).await?;
-        exchange(&mut sender, request, self.limit).await
+        exchange(&mut sender, request, self.max_answer_bytes).await
     }
 }
 
--- a/crates/cli/src/demo/request_callers.rs
+++ b/crates/cli/src/demo/request_callers.rs
@@ -137,7 +137,15 @@
             headers.insert("idempotency-key", value);
         }
         let path = format!("/{}", self.service);
-        let call = Call { address, method, path, headers, body, timeout: EXCHANGE_TIMEOUT, limit: MAX_ANSWER_BYTES };
+        let call = Call {
+            address,
+            method,
+            path,
+            headers,
+            body,
+            timeout: EXCHANGE_TIMEOUT,
+            max_answer_bytes: MAX_ANSWER_BYTES,
+        };
         let Ok(response) = call.send().await else { return ExchangeOutcome::Unknown };
         match header(&response, "hawthornshift-verdict").as_deref() {
             Some("answered") => ExchangeOutcome::Answer(response),
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -205,7 +205,7 @@
             headers,
             body: Bytes::copy_from_slice(order.as_bytes()),
             timeout: Duration::from_secs(5),
-            limit: 1 << 20,
+            max_answer_bytes: 1 << 20,
         };
         call.send().await
     }
