--- a/crates/adapters/src/config.rs
+++ b/crates/adapters/src/config.rs
@@ -5,7 +5,7 @@
 
 use slog::Logger;
 
-use crate::logs::LevelSwitch;
+use crate::logs::LogLevelHandle;
 use hawthornshift_core::Tuning;
 use hawthornshift_model::Incarnation;
 use hawthornshift_model::InstanceId;
@@ -25,7 +25,7 @@
     pub(crate) peers: Vec<SocketAddr>,
     pub(crate) tuning: Tuning,
     pub(crate) logger: Logger,
-    pub(crate) level: LevelSwitch,
+    pub(crate) level: LogLevelHandle,
 }
 
 impl Config {
@@ -54,7 +54,7 @@
             peers: Vec::new(),
             tuning: Tuning::default(),
             logger,
-            level: LevelSwitch::default(),
+            level: LogLevelHandle::default(),
         }
     }
 
@@ -87,9 +87,9 @@
         self
     }
 
-    /// Sets the switch with which the admin service changes the log level at run time.
+    /// Sets the handle with which the admin service changes the log level at run time.
     #[must_use]
-    pub fn level(mut self, level: LevelSwitch) -> Self {
+    pub fn level(mut self, level: LogLevelHandle) -> Self {
         self.level = level;
         self
     }
--- a/crates/adapters/src/logs.rs
+++ b/crates/adapters/src/logs.rs
@@ -16,16 +16,16 @@
 
 /// The minimum level of logged records; it can be changed at run time, and clones share it.
 #[derive(Clone, Debug)]
-pub struct LevelSwitch(Arc<AtomicUsize>);
+pub struct LogLevelHandle(Arc<AtomicUsize>);
 
-impl Default for LevelSwitch {
+impl Default for LogLevelHandle {
     fn default() -> Self {
         Self::new(Level::Info)
     }
 }
 
-impl LevelSwitch {
-    /// Creates a switch with an initial level.
+impl LogLevelHandle {
+    /// Creates a handle with an initial level.
     #[must_use]
     pub fn new(level: Level) -> Self {
         Self(Arc::new(AtomicUsize::new(level.as_usize())))
@@ -41,10 +41,10 @@
     }
 }
 
-/// A drain that forwards the records whose level the switch allows.
+/// A drain that forwards the records whose level the handle allows.
 struct LevelFiltered<D> {
     inner: D,
-    switch: LevelSwitch,
+    handle: LogLevelHandle,
 }
 
 impl<D: Drain> Drain for LevelFiltered<D> {
@@ -52,20 +52,20 @@
     type Err = D::Err;
 
     fn log(&self, record: &Record<'_>, values: &OwnedKVList) -> Result<Self::Ok, Self::Err> {
-        if self.switch.allows(record.level()) { self.inner.log(record, values).map(Some) } else { Ok(None) }
+        if self.handle.allows(record.level()) { self.inner.log(record, values).map(Some) } else { Ok(None) }
     }
 }
 
 /// Creates a logger that writes JSON lines to standard error.
-pub fn logger(switch: LevelSwitch) -> Logger {
-    logger_to(io::stderr(), switch)
+pub fn logger(handle: LogLevelHandle) -> Logger {
+    logger_to(io::stderr(), handle)
 }
 
 /// Creates a logger that writes JSON lines on a separate thread, so that logging never blocks on a slow reader.
-pub fn logger_to(writer: impl io::Write + Send + 'static, switch: LevelSwitch) -> Logger {
+pub fn logger_to(writer: impl io::Write + Send + 'static, handle: LogLevelHandle) -> Logger {
     let json = slog_json::Json::default(writer).fuse();
     let queue = slog_async::Async::new(json).chan_size(MAX_QUEUED_RECORDS).build().fuse();
-    Logger::root(LevelFiltered { inner: queue, switch }.fuse(), slog::o!())
+    Logger::root(LevelFiltered { inner: queue, handle }.fuse(), slog::o!())
 }
 
 /// Creates a logger that discards all records.
--- a/crates/cli/src/direct.rs
+++ b/crates/cli/src/direct.rs
@@ -17,7 +17,7 @@
 use crate::settings::reader::Setting;
 use crate::settings::reader::setting;
 use hawthornshift_adapters::logs;
-use hawthornshift_adapters::logs::LevelSwitch;
+use hawthornshift_adapters::logs::LogLevelHandle;
 use hawthornshift_core::direct::mechanisms::Mechanisms;
 use hawthornshift_direct::Config;
 use hawthornshift_direct::Process;
@@ -122,7 +122,7 @@
 }
 
 fn serve(settings: DirectSettings) -> Exit {
-    let log = logs::logger_to(std::io::stdout(), LevelSwitch::new(settings.log_level));
+    let log = logs::logger_to(std::io::stdout(), LogLevelHandle::new(settings.log_level));
     // Single-threaded: the state has one owner, and the process is limited to a quarter of a core and a few megabytes
     // of memory.
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
--- a/crates/cli/src/instance.rs
+++ b/crates/cli/src/instance.rs
@@ -17,7 +17,7 @@
 use hawthornshift_adapters::config::Addresses;
 use hawthornshift_adapters::instance::Serving;
 use hawthornshift_adapters::logs;
-use hawthornshift_adapters::logs::LevelSwitch;
+use hawthornshift_adapters::logs::LogLevelHandle;
 
 /// Runs one instance until it stops, and returns the exit code.
 ///
@@ -59,7 +59,7 @@
 }
 
 async fn serve(settings: Settings) -> Exit {
-    let level = LevelSwitch::new(settings.log_level);
+    let level = LogLevelHandle::new(settings.log_level);
     let log = logs::logger(level.clone());
     let addresses = Addresses { control: settings.control, forward: settings.forward, admin: settings.admin };
     let config =
