--- a/crates/core/examples/ablation.rs
+++ b/crates/core/examples/ablation.rs
@@ -59,7 +59,7 @@
 fn slow_targets(sim: &mut Sim) -> (Duration, Duration) {
     sim.per_second = 334.0;
     sim.run_until(secs(3));
-    sim.change_targets(FAULTY_TARGETS, |target| target.slow = 5.0);
+    sim.change_targets(FAULTY_TARGETS, |target| target.slowdown = 5.0);
     sim.run_until(secs(13));
     (secs(4), secs(12))
 }
@@ -111,7 +111,7 @@
 
 fn failing_targets(sim: &mut Sim) -> (Duration, Duration) {
     sim.run_until(secs(4));
-    sim.change_targets(FAULTY_TARGETS, |target| target.fails = 1.0);
+    sim.change_targets(FAULTY_TARGETS, |target| target.failure_share = 1.0);
     sim.run_until(secs(10));
     (secs(4), secs(9))
 }
@@ -119,7 +119,7 @@
 fn hanging_targets(sim: &mut Sim) -> (Duration, Duration) {
     sim.when_full = WhenFull::Refuse;
     sim.run_until(secs(4));
-    sim.change_targets(FAULTY_TARGETS, |target| target.hangs = 1.0);
+    sim.change_targets(FAULTY_TARGETS, |target| target.hang_share = 1.0);
     sim.run_until(secs(10));
     (secs(4), secs(9))
 }
--- a/crates/core/tests/direct/fleet.rs
+++ b/crates/core/tests/direct/fleet.rs
@@ -157,11 +157,11 @@
 pub struct SimTarget {
     pub alive: bool,
     /// Factor by which requests take longer than usual.
-    pub slow: f64,
+    pub slowdown: f64,
     /// Share of requests that the target answers at once with a failure, without running them.
-    pub fails: f64,
+    pub failure_share: f64,
     /// Share of requests that the target accepts and never answers. Each holds its slot until its caller's timeout.
-    pub hangs: f64,
+    pub hang_share: f64,
     /// Slots in use.
     running: usize,
     queue: VecDeque<QueuedRequest>,
@@ -175,9 +175,9 @@
     fn default() -> Self {
         Self {
             alive: true,
-            slow: 1.0,
-            fails: 0.0,
-            hangs: 0.0,
+            slowdown: 1.0,
+            failure_share: 0.0,
+            hang_share: 0.0,
             running: 0,
             queue: VecDeque::new(),
             flows: BTreeMap::new(),
@@ -851,7 +851,7 @@
                 self.schedule_after(CALLER_DELAY, Event::SynAnswered(request, segment.flow, id));
             }
             SegmentKind::Ack if segment.payload_bytes > 0 => {
-                if target.fails > 0.0 && self.rng.random_bool(target.fails) {
+                if target.failure_share > 0.0 && self.rng.random_bool(target.failure_share) {
                     self.schedule_after(CALLER_DELAY, Event::Failed(request, segment.flow));
                     return;
                 }
@@ -878,10 +878,10 @@
         }
         let Some(mut queued) = target.queue.pop_front() else { return };
         target.running += 1;
-        let mut duration = self.service_time.mul_f64(spread * target.slow);
+        let mut duration = self.service_time.mul_f64(spread * target.slowdown);
         let state = &mut self.requests[queued.request];
         state.run_count += 1;
-        if target.hangs > 0.0 && self.rng.random_bool(target.hangs) {
+        if target.hang_share > 0.0 && self.rng.random_bool(target.hang_share) {
             state.hung = true;
             queued.never_answered = true;
             duration = (state.sent_at + self.timeout).saturating_sub(self.now);
--- a/crates/core/tests/direct/hanging.rs
+++ b/crates/core/tests/direct/hanging.rs
@@ -28,9 +28,9 @@
     sim.mechanisms = mechanisms;
     sim.when_full = WhenFull::Refuse;
     sim.run_until(secs(3));
-    sim.change_targets(HANGING_TARGETS, |target| target.hangs = share);
+    sim.change_targets(HANGING_TARGETS, |target| target.hang_share = share);
     sim.run_until(secs(11));
-    sim.change_targets(HANGING_TARGETS, |target| target.hangs = 0.0);
+    sim.change_targets(HANGING_TARGETS, |target| target.hang_share = 0.0);
     sim
 }
 
@@ -80,9 +80,9 @@
 fn a_slow_target_is_reinstated_when_it_answers() {
     let mut sim = Sim::new(6, 9, 14, 300.0);
     sim.run_until(secs(4));
-    sim.change_targets(HANGING_TARGETS, |target| target.slow = 6.0);
+    sim.change_targets(HANGING_TARGETS, |target| target.slowdown = 6.0);
     sim.run_until(secs(10));
-    sim.change_targets(HANGING_TARGETS, |target| target.slow = 1.0);
+    sim.change_targets(HANGING_TARGETS, |target| target.slowdown = 1.0);
     sim.run_until(secs(12));
     sim.assert_invariants();
     let overdue = sim.decisions_with(Outcome::AnswerOverdue).count();
@@ -99,7 +99,7 @@
     let mut sim = Sim::new(7, 9, 14, 80.0);
     sim.set_route_times(ms(1_000), ms(4_000));
     sim.run_until(secs(6));
-    sim.change_targets(0..14, |target| target.slow = 5.0);
+    sim.change_targets(0..14, |target| target.slowdown = 5.0);
     sim.run_until(secs(12));
     sim.assert_invariants();
     assert_eq!(sim.ejected_total(), 0);
--- a/crates/core/tests/direct/load.rs
+++ b/crates/core/tests/direct/load.rs
@@ -84,7 +84,7 @@
             let mut sim = Sim::new(seed, 9, 14, 334.0);
             sim.load_reports_enabled = enabled;
             sim.run_until(secs(3));
-            sim.change_targets([1, 5, 9], |target| target.slow = 5.0);
+            sim.change_targets([1, 5, 9], |target| target.slowdown = 5.0);
             sim.run_until(secs(13));
             sim.assert_invariants();
             let served = sim.served(secs(4), secs(12));
@@ -106,7 +106,7 @@
     let reports_a_request = |per_second, slow| {
         let mut sim = Sim::new(21, 9, 14, per_second);
         sim.run_until(secs(3));
-        sim.change_targets([1, 5, 9], |target| target.slow = slow);
+        sim.change_targets([1, 5, 9], |target| target.slowdown = slow);
         let (reports, sent) = (sim.report_count, sim.requests.len());
         sim.run_until(secs(9));
         let (in_time, _) = sim.served(secs(4), secs(8));
@@ -131,7 +131,7 @@
     for seed in 20..24 {
         let mut sim = Sim::new(seed, 9, 14, 334.0);
         sim.run_until(secs(3));
-        sim.change_targets([1, 5, 9], |target| target.slow = 5.0);
+        sim.change_targets([1, 5, 9], |target| target.slowdown = 5.0);
         sim.run_until(secs(13));
         in_time += sim.served(secs(4), secs(12)).0 / 4.0;
     }
@@ -144,7 +144,7 @@
 fn slow_targets_get_few_requests_while_others_are_fast() {
     let mut sim = Sim::new(4, 9, 14, USUAL_RATE);
     sim.run_until(secs(3));
-    sim.change_targets([1, 4, 7, 10, 13], |target| target.slow = 6.0);
+    sim.change_targets([1, 4, 7, 10, 13], |target| target.slowdown = 6.0);
     sim.run_until(secs(10));
     sim.assert_invariants();
     let (in_time, at_all) = sim.served(secs(4), secs(9));
@@ -254,11 +254,11 @@
 fn targets_that_fail_at_once_attract_no_flows() {
     let mut sim = Sim::new(10, 9, 14, USUAL_RATE);
     sim.run_until(secs(4));
-    sim.change_targets([3, 8], |target| target.fails = 1.0);
+    sim.change_targets([3, 8], |target| target.failure_share = 1.0);
     sim.run_until(secs(9));
     let sent = sim.requests.iter().filter(|request| request.sent_at >= secs(4) + ms(300)).count();
     let failed = sim.requests.iter().filter(|request| request.failed).count();
-    sim.change_targets([3, 8], |target| target.fails = 0.0);
+    sim.change_targets([3, 8], |target| target.failure_share = 0.0);
     sim.run_until(secs(24));
     sim.assert_invariants();
     assert!(failed * 100 < sent, "{failed} of {sent} requests failed");
@@ -318,7 +318,7 @@
         let mut sim = Sim::new(seed, 9, 14, 380.0);
         sim.keep_flows(300);
         sim.run_until(secs(4));
-        sim.change_targets([1, 5, 9], |target| target.slow = 8.0);
+        sim.change_targets([1, 5, 9], |target| target.slowdown = 8.0);
         sim.restart_in_turn(secs(5), secs(1), 4);
         sim.run_until(secs(12));
         sim.assert_invariants();
