--- a/crates/core/examples/ablation.rs
+++ b/crates/core/examples/ablation.rs
@@ -91,7 +91,7 @@
 }
 
 fn dead_open_flows(sim: &mut Sim) -> (Duration, Duration) {
-    sim.keep_flows(300);
+    sim.use_persistent_flows(300);
     sim.per_second = 300.0;
     sim.run_until(secs(6));
     sim.change_targets(FAULTY_TARGETS, |target| target.alive = false);
@@ -100,11 +100,11 @@
 }
 
 fn cut_open_flows(sim: &mut Sim) -> (Duration, Duration) {
-    sim.keep_flows(300);
+    sim.use_persistent_flows(300);
     sim.per_second = 300.0;
     sim.route_by_readiness();
     sim.run_until(secs(6));
-    sim.cut_off(1);
+    sim.partition_domain(1);
     sim.run_until(secs(12));
     (secs(6), secs(9))
 }
@@ -125,7 +125,7 @@
 }
 
 fn rolling_restarts(sim: &mut Sim) -> (Duration, Duration) {
-    sim.restart_in_turn(secs(3), ms(700), 6);
+    sim.rolling_restart(secs(3), ms(700), 6);
     sim.run_until(secs(10));
     (secs(3), secs(9))
 }
@@ -136,9 +136,9 @@
         let mut sim = Sim::new(seed, 9, 14, BASE_RATE);
         sim.mechanisms = mechanisms;
         let (from, to) = case.1(&mut sim);
-        let served = sim.served(from, to);
-        in_time += served.0;
-        at_all += served.1;
+        let shares = sim.answered_shares(from, to);
+        in_time += shares.0;
+        at_all += shares.1;
     }
     let seeds = f64::from(u32::try_from(SEEDS).expect("a small number"));
     (in_time / seeds, at_all / seeds)
--- a/crates/core/tests/direct/domain_loss.rs
+++ b/crates/core/tests/direct/domain_loss.rs
@@ -51,9 +51,9 @@
         let mut sim = fleet(seed);
         sim.change_targets(in_lost_domain(0..TARGETS), |target| target.alive = false);
         sim.run_until(secs(10));
-        let served = sim.served(secs(4), secs(8));
-        in_time += served.0 / 4.0;
-        at_all += served.1 / 4.0;
+        let shares = sim.answered_shares(secs(4), secs(8));
+        in_time += shares.0 / 4.0;
+        at_all += shares.1 / 4.0;
     }
     assert!(in_time > 0.98, "in time: {in_time}");
     assert!(at_all > 0.995, "at all: {at_all}");
@@ -87,7 +87,7 @@
     let received = syn_count(&sim, &in_lost_domain) - before;
     let sent = requests_per_domain_since(&sim, secs(9));
     assert!(received * 10 >= sent * 8, "{received} of {sent}");
-    let (in_time, _) = sim.served(secs(9), secs(11) + ms(500));
+    let (in_time, _) = sim.answered_shares(secs(9), secs(11) + ms(500));
     assert!(in_time > 0.98, "{in_time}");
 }
 
--- a/crates/core/tests/direct/fleet.rs
+++ b/crates/core/tests/direct/fleet.rs
@@ -365,7 +365,7 @@
     }
 
     /// Makes `callers` callers send safe requests on persistent flows.
-    pub fn keep_flows(&mut self, callers: usize) {
+    pub fn use_persistent_flows(&mut self, callers: usize) {
         self.safe_requests = true;
         self.idle_flows = vec![None; callers];
         for versioned in &mut self.store_content.entries {
@@ -387,7 +387,7 @@
     }
 
     /// Partitions a failure domain from the others; its callers still reach all instances.
-    pub fn cut_off(&mut self, domain: usize) {
+    pub fn partition_domain(&mut self, domain: usize) {
         self.cut_domain = Some(domain);
         self.was_cut = true;
     }
@@ -398,7 +398,7 @@
 
     /// Kills and restarts instances one after the other, `gap` apart, so that each has been running again for a while
     /// before the next is killed.
-    pub fn restart_in_turn(&mut self, from: Timestamp, gap: Duration, instances: usize) {
+    pub fn rolling_restart(&mut self, from: Timestamp, gap: Duration, instances: usize) {
         for index in 0..instances {
             let at = from + gap * u32::try_from(index).unwrap();
             self.run_until(at);
@@ -955,7 +955,7 @@
 
     /// Returns the shares of the requests sent in a span that were answered within the latency objective and that were
     /// answered at all.
-    pub fn served(&self, from: Timestamp, to: Timestamp) -> (f64, f64) {
+    pub fn answered_shares(&self, from: Timestamp, to: Timestamp) -> (f64, f64) {
         let sent: Vec<&Request> = self.requests.iter().filter(|r| r.sent_at >= from && r.sent_at < to).collect();
         let in_time = sent.iter().filter(|r| r.answered_at.is_some_and(|at| at <= r.sent_at + self.objective)).count();
         let at_all = sent.iter().filter(|r| r.answered_at.is_some()).count();
--- a/crates/core/tests/direct/hanging.rs
+++ b/crates/core/tests/direct/hanging.rs
@@ -103,7 +103,7 @@
     sim.run_until(secs(12));
     sim.assert_invariants();
     assert_eq!(sim.ejected_total(), 0);
-    let (_, at_all) = sim.served(secs(6), secs(10));
+    let (_, at_all) = sim.answered_shares(secs(6), secs(10));
     assert!(at_all > 0.999, "{at_all}");
 }
 
@@ -113,10 +113,10 @@
 fn instance_restarts_do_not_eject_targets() {
     let mut sim = Sim::new(8, 9, 14, USUAL_RATE);
     sim.route_by_readiness();
-    sim.restart_in_turn(secs(3), ms(700), 6);
+    sim.rolling_restart(secs(3), ms(700), 6);
     sim.run_until(secs(14));
     sim.assert_invariants();
-    let (in_time, at_all) = sim.served(secs(3), secs(9));
+    let (in_time, at_all) = sim.answered_shares(secs(3), secs(9));
     assert!(in_time > 0.98 && at_all > 0.999, "{in_time} in time, {at_all} at all");
     assert_eq!(sim.ejected_total(), 0);
 }
--- a/crates/core/tests/direct/load.rs
+++ b/crates/core/tests/direct/load.rs
@@ -23,7 +23,7 @@
     let mut sim = Sim::new(1, 9, 14, USUAL_RATE);
     sim.run_until(secs(6));
     sim.assert_invariants();
-    let (in_time, at_all) = sim.served(secs(2), secs(5));
+    let (in_time, at_all) = sim.answered_shares(secs(2), secs(5));
     assert!(in_time > 0.99, "{in_time}");
     assert!((at_all - 1.0).abs() < f64::EPSILON, "{at_all}");
 }
@@ -49,9 +49,9 @@
         let all_restarted_at = secs(4) + ms(1_950);
         // In the first half second, the retries of requests sent during the outage, which look like new requests, use
         // the whole capacity of the targets.
-        let (first, _) = sim.served(all_restarted_at, all_restarted_at + ms(500));
-        let (second, _) = sim.served(all_restarted_at + ms(500), all_restarted_at + secs(1));
-        let (_, at_all) = sim.served(secs(4) + ms(900), all_restarted_at);
+        let (first, _) = sim.answered_shares(all_restarted_at, all_restarted_at + ms(500));
+        let (second, _) = sim.answered_shares(all_restarted_at + ms(500), all_restarted_at + secs(1));
+        let (_, at_all) = sim.answered_shares(secs(4) + ms(900), all_restarted_at);
         total = (total.0 + first / 4.0, total.1 + second / 4.0, total.2 + at_all / 4.0);
     }
     assert!(total.0 > 0.45, "sent in the half second after all were back and answered in time: {}", total.0);
@@ -68,7 +68,7 @@
     sim.change_targets([2, 9], |target| target.alive = false);
     sim.run_until(secs(9));
     sim.assert_invariants();
-    let (in_time, at_all) = sim.served(secs(4) + ms(100), secs(8));
+    let (in_time, at_all) = sim.answered_shares(secs(4) + ms(100), secs(8));
     assert!(in_time > 0.97, "{in_time}");
     assert!(at_all > 0.995, "{at_all}");
 }
@@ -87,9 +87,9 @@
             sim.change_targets([1, 5, 9], |target| target.slowdown = 5.0);
             sim.run_until(secs(13));
             sim.assert_invariants();
-            let served = sim.served(secs(4), secs(12));
-            in_time += served.0 / 4.0;
-            at_all += served.1 / 4.0;
+            let shares = sim.answered_shares(secs(4), secs(12));
+            in_time += shares.0 / 4.0;
+            at_all += shares.1 / 4.0;
         }
         (in_time, at_all)
     };
@@ -109,7 +109,7 @@
         sim.change_targets([1, 5, 9], |target| target.slowdown = slow);
         let (reports, sent) = (sim.report_count, sim.requests.len());
         sim.run_until(secs(9));
-        let (in_time, _) = sim.served(secs(4), secs(8));
+        let (in_time, _) = sim.answered_shares(secs(4), secs(8));
         assert!(in_time > 0.96, "{in_time} in time at {per_second} requests a second");
         let (reports, sent) = (sim.report_count - reports, sim.requests.len() - sent);
         f64::from(u32::try_from(reports).unwrap()) / f64::from(u32::try_from(sent).unwrap())
@@ -133,7 +133,7 @@
         sim.run_until(secs(3));
         sim.change_targets([1, 5, 9], |target| target.slowdown = 5.0);
         sim.run_until(secs(13));
-        in_time += sim.served(secs(4), secs(12)).0 / 4.0;
+        in_time += sim.answered_shares(secs(4), secs(12)).0 / 4.0;
     }
     assert!(in_time > 0.983, "{in_time}");
 }
@@ -147,7 +147,7 @@
     sim.change_targets([1, 4, 7, 10, 13], |target| target.slowdown = 6.0);
     sim.run_until(secs(10));
     sim.assert_invariants();
-    let (in_time, at_all) = sim.served(secs(4), secs(9));
+    let (in_time, at_all) = sim.answered_shares(secs(4), secs(9));
     assert!(in_time > 0.75, "{in_time}");
     assert!(at_all > 0.99, "{at_all}");
 }
@@ -163,7 +163,7 @@
     sim.per_second = USUAL_RATE;
     sim.run_until(secs(9));
     sim.assert_invariants();
-    let (in_time, at_all) = sim.served(secs(3), secs(6));
+    let (in_time, at_all) = sim.answered_shares(secs(3), secs(6));
     assert!(in_time > 0.9, "{in_time}");
     assert!(at_all > 0.999, "{at_all}");
 }
@@ -179,10 +179,10 @@
     sim.per_second = USUAL_RATE;
     sim.run_until(secs(9));
     sim.assert_invariants();
-    let (in_time, at_all) = sim.served(secs(3), secs(5));
+    let (in_time, at_all) = sim.answered_shares(secs(3), secs(5));
     assert!(in_time > 0.4, "{in_time}");
     assert!(at_all > 0.6, "{at_all}");
-    let (after, _) = sim.served(secs(7), secs(8));
+    let (after, _) = sim.answered_shares(secs(7), secs(8));
     assert!(after > 0.97, "{after}");
 }
 
@@ -192,10 +192,10 @@
 #[test]
 fn rolling_restarts_do_not_make_targets_suspect() {
     let mut sim = Sim::new(7, 9, 14, USUAL_RATE);
-    sim.restart_in_turn(secs(3), ms(700), 6);
+    sim.rolling_restart(secs(3), ms(700), 6);
     sim.run_until(secs(10));
     sim.assert_invariants();
-    let (in_time, at_all) = sim.served(secs(3), secs(9));
+    let (in_time, at_all) = sim.answered_shares(secs(3), secs(9));
     assert!(in_time > 0.98, "{in_time}");
     assert!(at_all > 0.995, "{at_all}");
     assert!(sim.second_target_syns < 20, "SYNs sent to a second target: {}", sim.second_target_syns);
@@ -207,12 +207,12 @@
 fn a_partitioned_failure_domain_goes_on_serving() {
     let mut sim = Sim::new(8, 9, 14, 200.0);
     sim.run_until(secs(3));
-    sim.cut_off(1);
+    sim.partition_domain(1);
     sim.run_until(secs(8));
     sim.cut_domain = None;
     sim.run_until(secs(10));
     sim.assert_invariants();
-    let (in_time, at_all) = sim.served(secs(3) + ms(200), secs(7));
+    let (in_time, at_all) = sim.answered_shares(secs(3) + ms(200), secs(7));
     assert!(in_time > 0.9, "{in_time}");
     assert!(at_all > 0.97, "{at_all}");
 }
@@ -228,12 +228,12 @@
     let evacuated = VersionedEntry { revision: 20, entry: StoreEntry::Evacuated(domain(1), true) };
     sim.publish(&Delta { since: 11, revision: 20, is_snapshot: false, entries: vec![evacuated] });
     sim.run_until(secs(4));
-    sim.cut_off(1);
+    sim.partition_domain(1);
     // An instance that starts during the partition has no record of it.
     sim.kill(5);
     sim.start_at(ms(6_900), 5);
     sim.run_until(secs(10));
-    let (in_time, at_all) = sim.served(ms(6_200), secs(9));
+    let (in_time, at_all) = sim.answered_shares(ms(6_200), secs(9));
     assert!(in_time > 0.99, "{in_time}");
     assert!(at_all > 0.999, "{at_all}");
     sim.cut_domain = None;
@@ -241,7 +241,7 @@
     sim.publish(&Delta { since: 20, revision: 30, is_snapshot: false, entries: vec![reinstated] });
     sim.run_until(secs(16));
     sim.assert_invariants();
-    let (in_time, at_all) = sim.served(secs(11), secs(15));
+    let (in_time, at_all) = sim.answered_shares(secs(11), secs(15));
     assert!(in_time > 0.99, "{in_time}");
     assert!(at_all > 0.999, "{at_all}");
 }
@@ -277,13 +277,13 @@
 fn open_flows_to_dead_targets_are_reset() {
     for seed in 30..33 {
         let mut sim = Sim::new(seed, 9, 14, 300.0);
-        sim.keep_flows(300);
+        sim.use_persistent_flows(300);
         sim.run_until(secs(6));
         sim.change_targets([1, 5, 9], |target| target.alive = false);
         sim.run_until(secs(14));
         sim.assert_invariants();
-        let (_, right_after) = sim.served(secs(6), secs(6) + ms(300));
-        let (after, at_all) = sim.served(secs(6) + ms(300), secs(12));
+        let (_, right_after) = sim.answered_shares(secs(6), secs(6) + ms(300));
+        let (after, at_all) = sim.answered_shares(secs(6) + ms(300), secs(12));
         assert!(
             right_after > 0.95,
             "seed {seed}: {right_after} of the requests sent right after the failure were answered at all"
@@ -297,14 +297,14 @@
 #[test]
 fn open_flows_across_a_partition_are_reset() {
     let mut sim = Sim::new(34, 8, 16, 300.0);
-    sim.keep_flows(300);
+    sim.use_persistent_flows(300);
     sim.route_by_readiness();
     sim.run_until(secs(6));
-    sim.cut_off(1);
+    sim.partition_domain(1);
     sim.run_until(secs(12));
     sim.assert_invariants();
-    let (_, right_after) = sim.served(secs(6), secs(6) + ms(300));
-    let (after, at_all) = sim.served(secs(6) + ms(300), secs(10));
+    let (_, right_after) = sim.answered_shares(secs(6), secs(6) + ms(300));
+    let (after, at_all) = sim.answered_shares(secs(6) + ms(300), secs(10));
     assert!(right_after > 0.95, "{right_after} of the requests sent right after the failure were answered at all");
     assert!(after > 0.97 && at_all > 0.995, "{after} in time, {at_all} at all afterwards");
 }
@@ -316,10 +316,10 @@
 fn flows_to_live_targets_are_never_reset() {
     for seed in 40..44 {
         let mut sim = Sim::new(seed, 9, 14, 380.0);
-        sim.keep_flows(300);
+        sim.use_persistent_flows(300);
         sim.run_until(secs(4));
         sim.change_targets([1, 5, 9], |target| target.slowdown = 8.0);
-        sim.restart_in_turn(secs(5), secs(1), 4);
+        sim.rolling_restart(secs(5), secs(1), 4);
         sim.run_until(secs(12));
         sim.assert_invariants();
         let sent = sim.requests.len();
@@ -335,12 +335,12 @@
     let mut in_time = 0.0;
     for seed in 50..56 {
         let mut sim = Sim::new(seed, 9, 14, 150.0);
-        sim.keep_flows(300);
+        sim.use_persistent_flows(300);
         sim.run_until(secs(8));
         sim.change_targets([1, 5, 9], |target| target.alive = false);
         sim.run_until(secs(12));
         sim.assert_invariants();
-        in_time += sim.served(secs(8) + ms(250), secs(10)).0 / 6.0;
+        in_time += sim.answered_shares(secs(8) + ms(250), secs(10)).0 / 6.0;
     }
     assert!(in_time > 0.99, "{in_time}");
 }
@@ -353,7 +353,7 @@
 fn an_instance_with_a_full_link_resets_no_flow() {
     for seed in 60..64 {
         let mut sim = Sim::new(seed, 9, 14, 300.0);
-        sim.keep_flows(300);
+        sim.use_persistent_flows(300);
         sim.run_until(secs(5));
         sim.congested_link = Some((4, ms(300)));
         sim.run_until(secs(8));
--- a/crates/core/tests/direct/overload.rs
+++ b/crates/core/tests/direct/overload.rs
@@ -48,7 +48,7 @@
         sim.per_second = 400.0;
         sim.run_until(secs(9));
         sim.assert_invariants();
-        let (in_time, at_all) = sim.served(secs(3), secs(6));
+        let (in_time, at_all) = sim.answered_shares(secs(3), secs(6));
         served.in_time += in_time / 3.0;
         served.at_all += at_all / 3.0;
         served.refused_attempts += sim.refused_attempts();
@@ -70,7 +70,7 @@
         sim.per_second = 425.0;
         sim.run_until(secs(10));
         sim.assert_invariants();
-        in_time += sim.served(secs(3), secs(7)).0 / 4.0;
+        in_time += sim.answered_shares(secs(3), secs(7)).0 / 4.0;
         simulations.push(sim);
     }
     (in_time, simulations)
@@ -122,7 +122,7 @@
         }
         sim.run_until(secs(10));
         sim.assert_invariants();
-        let (_, at_all) = sim.served(secs(4), secs(7));
+        let (_, at_all) = sim.answered_shares(secs(4), secs(7));
         assert!(at_all > 0.99, "seed {seed}: {at_all} answered at all");
     }
 }
