--- a/crates/core/src/direct/pause.rs
+++ b/crates/core/src/direct/pause.rs
@@ -28,7 +28,7 @@
     }
 
     /// Records both clocks at an iteration of the event loop. Returns for how long the process was paused, if it was.
-    pub fn turn(&mut self, monotonic: Timestamp, wall: Duration) -> Option<Duration> {
+    pub fn check(&mut self, monotonic: Timestamp, wall: Duration) -> Option<Duration> {
         let gap = monotonic.saturating_sub(self.monotonic).max(wall.saturating_sub(self.wall));
         *self = Self { monotonic, wall };
         (gap >= MIN_PAUSE).then_some(gap)
--- a/crates/core/src/direct/stopping.rs
+++ b/crates/core/src/direct/stopping.rs
@@ -29,7 +29,7 @@
     }
 
     /// Records a packet from a caller.
-    pub fn packet(&mut self, now: Timestamp) {
+    pub fn record_packet(&mut self, now: Timestamp) {
         self.last_packet = now;
     }
 
--- a/crates/core/tests/direct/rules.rs
+++ b/crates/core/tests/direct/rules.rs
@@ -354,10 +354,10 @@
 #[test]
 fn a_suspension_is_detected_by_the_time_of_day() {
     let mut pause_detector = PauseDetector::new(ms(0), ms(1_000_000));
-    assert_eq!(pause_detector.turn(ms(50), ms(1_000_050)), None);
-    assert_eq!(pause_detector.turn(ms(100), ms(1_004_000)), Some(ms(3_950)));
-    assert_eq!(pause_detector.turn(ms(1_100), ms(1_005_000)), Some(ms(1_000)));
-    assert_eq!(pause_detector.turn(ms(1_150), ms(900_000)), None);
+    assert_eq!(pause_detector.check(ms(50), ms(1_000_050)), None);
+    assert_eq!(pause_detector.check(ms(100), ms(1_004_000)), Some(ms(3_950)));
+    assert_eq!(pause_detector.check(ms(1_100), ms(1_005_000)), Some(ms(1_000)));
+    assert_eq!(pause_detector.check(ms(1_150), ms(900_000)), None);
 }
 
 /// A target dies, and every instance sees that handshakes there are not finished. Each abandons the requests that it
--- a/crates/direct/src/process.rs
+++ b/crates/direct/src/process.rs
@@ -245,7 +245,7 @@
             let Some(decoded) = self.callers.read() else { return };
             let now = self.now();
             if let Some(stopping) = &mut self.stopping {
-                stopping.packet(now);
+                stopping.record_packet(now);
             }
             // The socket counts malformed packets.
             let Ok(segment) = decoded else { continue };
@@ -307,7 +307,7 @@
     /// peers are read first.
     fn detect_pause(&mut self) {
         let now = self.now();
-        let gap = self.pause.turn(now, time_of_day());
+        let gap = self.pause.check(now, time_of_day());
         if let Some(gap) = gap.filter(|_| self.config.mechanisms.has(Mechanism::PauseDetection)) {
             warn!(self.log, "process paused"; "for_ms" => millis(gap));
             self.dispatcher.process_paused(now);
