--- a/crates/core/src/flows/mod.rs
+++ b/crates/core/src/flows/mod.rs
@@ -266,7 +266,7 @@
         invariant_counters: &mut InvariantCounters,
     ) -> Option<PacketAction> {
         match found.holder {
-            Holder::Here { binding, local_port } => {
+            Holder::Local { binding, local_port } => {
                 let queried = found.unconfirmed.then(|| self.query_earlier_home(packet, packet.key.hash64(), cx));
                 queried.flatten().or_else(|| self.send_held(packet, binding, local_port, cx, invariant_counters))
             }
@@ -388,7 +388,7 @@
         invariant_counters.assert(!target.leaving, Invariant::LeavingTargetGetsNothing);
         invariant_counters.assert(cx.view.catalog().domains()[target.domain].in_service, Invariant::OutDomainSilent);
         let descriptor = describe_target(cx.view.catalog(), target);
-        let Some(local_port) = self.table.insert_here(packet.now, packet.key, &descriptor, 0) else {
+        let Some(local_port) = self.table.insert_local(packet.now, packet.key, &descriptor, 0) else {
             return self.drop(DropReason::TableFull);
         };
         self.counts.opened += 1;
@@ -527,7 +527,7 @@
                     continue;
                 }
                 Some((Holder::Instance(other), _)) => superseded.others.entry(other).or_default().push(flow.caller),
-                Some((Holder::Here { .. }, _)) | None => {}
+                Some((Holder::Local { .. }, _)) | None => {}
             }
             if batch.handover {
                 self.take_over(now, key, flow.age_ms, &batch.target, cx);
@@ -552,7 +552,7 @@
     }
 
     fn take_over(&mut self, now: Timestamp, key: FlowKey, age_ms: u32, target: &TargetDescriptor, cx: FlowContext<'_>) {
-        if self.table.insert_here(now, key, target, age_ms).is_some() {
+        if self.table.insert_local(now, key, target, age_ms).is_some() {
             self.counts.taken_over += 1;
         }
         if let Some(service) = cx.view.catalog().service(key.service) {
--- a/crates/core/src/flows/table.rs
+++ b/crates/core/src/flows/table.rs
@@ -44,7 +44,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Holder {
     /// This instance.
-    Here {
+    Local {
         /// The binding of the flow's target.
         binding: BindingIndex,
         /// The local port from which packets go to the target.
@@ -57,7 +57,7 @@
 #[derive(Clone, Copy, Debug)]
 enum RecordState {
     Vacant,
-    Here {
+    Local {
         binding: BindingIndex,
         local_port: LocalPort,
     },
@@ -301,7 +301,7 @@
     pub fn held_at(&self, now: Timestamp, position: usize) -> Option<HeldFlow> {
         let record = self.records.get(position)?;
         match record.state {
-            RecordState::Here { binding, .. } => {
+            RecordState::Local { binding, .. } => {
                 Some(HeldFlow { service: record.key.service, binding, descriptor: record.descriptor(now) })
             }
             _ => None,
@@ -339,7 +339,7 @@
 
     /// Adds a flow held here that started `age_ms` milliseconds ago, and returns its local port. Returns `None` if the
     /// table is full or no local port is free for the target's address.
-    pub fn insert_here(
+    pub fn insert_local(
         &mut self,
         now: Timestamp,
         key: FlowKey,
@@ -357,7 +357,7 @@
         };
         self.bindings[binding as usize].held_flows += 1;
         let record = &mut self.records[slot as usize];
-        record.state = RecordState::Here { binding, local_port };
+        record.state = RecordState::Local { binding, local_port };
         record.started_ms = wrapping_millis(now).wrapping_sub(age_ms);
         self.held += 1;
         self.insert_index(&key, slot);
@@ -438,7 +438,7 @@
     pub fn remove(&mut self, now: Timestamp, key: &FlowKey) {
         let Some(slot) = self.remove_index(key) else { return };
         match self.records[slot as usize].state {
-            RecordState::Here { binding, local_port } => {
+            RecordState::Local { binding, local_port } => {
                 self.bindings[binding as usize].held_flows -= 1;
                 self.release(now, binding, local_port);
                 self.held -= 1;
@@ -461,7 +461,7 @@
     pub fn mark_handed_over(&mut self, now: Timestamp, key: &FlowKey) {
         let Some(slot) = self.find(key) else { return };
         let record = &mut self.records[slot as usize];
-        if let RecordState::Here { binding, local_port } = record.state {
+        if let RecordState::Local { binding, local_port } = record.state {
             record.state = RecordState::HandedOver { binding, local_port };
             record.last_packet_ms = wrapping_millis(now);
             self.bindings[binding as usize].held_flows -= 1;
@@ -484,7 +484,7 @@
         let slot = (*ports.slots.get(usize::from(local_port))?)?;
         let record = &mut self.records[slot as usize];
         let binding = match record.state {
-            RecordState::Here { binding, .. } => {
+            RecordState::Local { binding, .. } => {
                 if record.is_unconfirmed(now, unconfirmed_before) {
                     return None;
                 }
@@ -509,14 +509,14 @@
             let limit = match state {
                 RecordState::Vacant => continue,
                 RecordState::HandedOver { .. } => HANDED_OVER_REPLY_TIME,
-                RecordState::Here { .. } => idle_timeout(key.service).unwrap_or(UNKNOWN_SERVICE_IDLE_TIMEOUT),
+                RecordState::Local { .. } => idle_timeout(key.service).unwrap_or(UNKNOWN_SERVICE_IDLE_TIMEOUT),
                 // The holder advertises the flow periodically for as long as the flow lasts.
                 RecordState::Elsewhere { .. } => {
                     idle_timeout(key.service).unwrap_or(UNKNOWN_SERVICE_IDLE_TIMEOUT).max(ADVERTISE_PERIOD * 2)
                 }
             };
             if record.idle_time(now) >= limit {
-                expired += u64::from(matches!(state, RecordState::Here { .. }));
+                expired += u64::from(matches!(state, RecordState::Local { .. }));
                 self.remove(now, &key);
             }
         }
@@ -526,7 +526,7 @@
 
 fn holder(state: RecordState) -> Option<Holder> {
     match state {
-        RecordState::Here { binding, local_port } => Some(Holder::Here { binding, local_port }),
+        RecordState::Local { binding, local_port } => Some(Holder::Local { binding, local_port }),
         RecordState::Elsewhere { holder } => Some(Holder::Instance(holder)),
         RecordState::Vacant | RecordState::HandedOver { .. } => None,
     }
--- a/crates/core/tests/targets.rs
+++ b/crates/core/tests/targets.rs
@@ -94,12 +94,12 @@
     let key = |last_octet: u8| FlowKey { service: 5, caller: ([10, 0, 0, last_octet], 4_000).into() };
     let mut table = FlowTable::new(100);
     let now = Duration::from_secs(1);
-    let first = table.insert_here(now, key(1), &descriptor, 0).unwrap();
+    let first = table.insert_local(now, key(1), &descriptor, 0).unwrap();
     table.remove(now, &key(1));
-    let second = table.insert_here(now + Duration::from_secs(30), key(2), &descriptor, 0).unwrap();
+    let second = table.insert_local(now + Duration::from_secs(30), key(2), &descriptor, 0).unwrap();
     assert_ne!(first, second);
     assert!(table.find_by_local_port(now, descriptor.address, first, None).is_none());
-    let third = table.insert_here(now + Duration::from_secs(61), key(3), &descriptor, 0).unwrap();
+    let third = table.insert_local(now + Duration::from_secs(61), key(3), &descriptor, 0).unwrap();
     assert_eq!(first, third);
 }
 
@@ -121,14 +121,14 @@
     let mut table = FlowTable::new(100);
     let now = Duration::from_secs(1);
     let is_closed = |table: &mut FlowTable, last_octet| match table.touch(now, &key(last_octet), None).unwrap().holder {
-        Holder::Here { binding, .. } => table.binding(binding).block().is_some(),
+        Holder::Local { binding, .. } => table.binding(binding).block().is_some(),
         Holder::Instance(_) => panic!("the flow is held here"),
     };
-    table.insert_here(now, key(1), &descriptor, 0).unwrap();
+    table.insert_local(now, key(1), &descriptor, 0).unwrap();
     table.revalidate(&catalog(DomainState::Out));
     assert!(is_closed(&mut table, 1));
     table.revalidate(&catalog(DomainState::InService));
-    table.insert_here(now, key(2), &descriptor, 0).unwrap();
+    table.insert_local(now, key(2), &descriptor, 0).unwrap();
     assert!(is_closed(&mut table, 1));
     assert!(!is_closed(&mut table, 2));
 }
