--- a/crates/core/src/coordinator.rs
+++ b/crates/core/src/coordinator.rs
@@ -207,7 +207,7 @@
     /// The request is queued.
     Queued,
     /// The request is queued and displaces this queued request of a lower class, which must be refused.
-    QueuedInsteadOf(RequestId),
+    QueuedDisplacing(RequestId),
     /// The queue is full.
     Full,
     /// This instance coordinates no usable target of the group.
@@ -372,7 +372,7 @@
         }
         let Some(displaced) = queue.displace(class) else { return Admission::Full };
         queue.push(class, request);
-        Admission::QueuedInsteadOf(displaced)
+        Admission::QueuedDisplacing(displaced)
     }
 
     /// Starts queued requests while slots are free; returns the requests started and their targets.
--- a/crates/core/src/requests/mod.rs
+++ b/crates/core/src/requests/mod.rs
@@ -403,7 +403,7 @@
         match admission {
             Admission::Run(target) => self.execute(cx, request, target),
             Admission::Queued => entry.stage = Stage::Queued,
-            Admission::QueuedInsteadOf(displaced) => {
+            Admission::QueuedDisplacing(displaced) => {
                 entry.stage = Stage::Queued;
                 self.retry_elsewhere(cx, displaced, Reason::Overloaded);
             }
--- a/crates/core/tests/targets.rs
+++ b/crates/core/tests/targets.rs
@@ -151,7 +151,7 @@
         assert_eq!(admit(request, Class::Bulk), Admission::Queued);
     }
     assert_eq!(admit(queue_capacity, Class::Bulk), Admission::Full);
-    assert_eq!(admit(queue_capacity + 1, Class::Critical), Admission::QueuedInsteadOf(queue_capacity - 1));
+    assert_eq!(admit(queue_capacity + 1, Class::Critical), Admission::QueuedDisplacing(queue_capacity - 1));
     let later = now + Duration::from_secs(2);
     let started = coordinator.start_queued(later, LeaseState::Valid, &mut InvariantCounters::default());
     assert_eq!(started.first().map(|(request, _)| *request), Some(queue_capacity + 1));
