--- a/crates/core/src/coordinator.rs
+++ b/crates/core/src/coordinator.rs
@@ -328,7 +328,7 @@
     }
 
     /// Records how many requests the `former` coordinator of a target still runs there, and ends the target's hold.
-    pub fn released_by(&mut self, now: Timestamp, former: InstanceId, target: TargetId, running: u32) {
+    pub fn record_release(&mut self, now: Timestamp, former: InstanceId, target: TargetId, running: u32) {
         let Some(state) = self.targets.get_mut(&target) else { return };
         state.release_reports.insert(former, ReleaseReport { running, expires_at: now + RELEASE_VALIDITY });
         state.held_until = state.held_until.min(now);
--- a/crates/core/src/node/messages.rs
+++ b/crates/core/src/node/messages.rs
@@ -56,7 +56,7 @@
                 self.flows.batch_acknowledged(now, sequence, &superseded);
             }
             PeerMessage::CoordinatorRelease { target, running } => {
-                self.coordinator.released_by(now, from, target, running);
+                self.coordinator.record_release(now, from, target, running);
                 let (requests, mut cx) = self.request_context(now, out);
                 requests.start_queued(&mut cx);
             }
--- a/crates/core/tests/targets.rs
+++ b/crates/core/tests/targets.rs
@@ -69,13 +69,13 @@
         let id = target.name.parse().ok()?;
         (catalog.target(id)?.group_id == group).then_some(id)
     });
-    coordinator.released_by(start, 4, released.unwrap(), 1);
+    coordinator.record_release(start, 4, released.unwrap(), 1);
     let now = start + Duration::from_millis(10);
     assert!(
         coordinator.start_queued(now, LeaseState::Valid, &mut InvariantCounters::default()).is_empty(),
         "the previous coordinator still runs one request"
     );
-    coordinator.released_by(now, 4, released.unwrap(), 0);
+    coordinator.record_release(now, 4, released.unwrap(), 0);
     assert_eq!(
         coordinator.start_queued(now, LeaseState::Valid, &mut InvariantCounters::default()),
         [(1, released.unwrap())]
