--- a/crates/core/src/configuration.rs
+++ b/crates/core/src/configuration.rs
@@ -24,7 +24,7 @@
     /// A set with a higher revision is active.
     Stale,
     /// A different set with the same revision was active; the one with the greater content hash is active now.
-    Clash,
+    Conflict,
 }
 
 /// The active configuration set, with counters of the sets that were offered.
@@ -63,7 +63,7 @@
         if digest > self.catalog.digest() {
             self.adopt(now, set, invariant_counters);
         }
-        Adoption::Clash
+        Adoption::Conflict
     }
 
     fn adopt(&mut self, now: Timestamp, set: Arc<CheckedSet>, invariant_counters: &mut InvariantCounters) {
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -325,7 +325,7 @@
         let revision = set.set().revision;
         let before = self.configuration.catalog().digest();
         let adoption = self.configuration.offer(now, set, &mut self.invariant_counters);
-        if adoption == Adoption::Clash {
+        if adoption == Adoption::Conflict {
             out.push(Output::Notice(Notice::SetClash { revision }));
         }
         if self.configuration.catalog().digest() == before {
--- a/crates/core/tests/flows.rs
+++ b/crates/core/tests/flows.rs
@@ -218,8 +218,8 @@
         assert_eq!(first.revision(), 5);
         let mut second = Configuration::default();
         second.offer(now, make_set(5, idle_ms), &mut invariant_counters);
-        assert_eq!(first.offer(now, make_set(5, idle_ms), &mut invariant_counters), Adoption::Clash);
-        assert_eq!(second.offer(now, make_set(5, 60_000), &mut invariant_counters), Adoption::Clash);
+        assert_eq!(first.offer(now, make_set(5, idle_ms), &mut invariant_counters), Adoption::Conflict);
+        assert_eq!(second.offer(now, make_set(5, 60_000), &mut invariant_counters), Adoption::Conflict);
         assert_eq!(first.catalog().digest(), second.catalog().digest());
     }
 }
