--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -32,7 +32,7 @@
 use crate::target::HEARTBEAT;
 use crate::target::Target;
 use hawthornshift_standins::Store;
-use hawthornshift_standins::store::Mood;
+use hawthornshift_standins::store::ResponseMode;
 
 /// Number of failure domains.
 const DOMAINS: usize = 3;
@@ -315,8 +315,10 @@
                 tokio::time::sleep(duration).await;
                 self.proxies[index].set_mode(ProxyMode::Through);
             }
-            Fault::StoreSilent(duration) => self.hold_store_mood(Mood::Silent, duration).await,
-            Fault::StoreRefuses(status, duration) => self.hold_store_mood(Mood::Refusing(status), duration).await,
+            Fault::StoreSilent(duration) => self.hold_store_response_mode(ResponseMode::Silent, duration).await,
+            Fault::StoreRefuses(status, duration) => {
+                self.hold_store_response_mode(ResponseMode::Refusing(status), duration).await;
+            }
             Fault::StoreForgets => self.store.compact(),
             Fault::Routes => {
                 let extra = &mut self.version.lock().await.1;
@@ -378,10 +380,10 @@
     }
 
     /// Sets the behaviour of the store for a time.
-    async fn hold_store_mood(&self, mood: Mood, duration: Duration) {
-        self.store.set_mood(mood);
+    async fn hold_store_response_mode(&self, response_mode: ResponseMode, duration: Duration) {
+        self.store.set_response_mode(response_mode);
         tokio::time::sleep(duration).await;
-        self.store.set_mood(Mood::Well);
+        self.store.set_response_mode(ResponseMode::Normal);
     }
 
     async fn restart(&self, index: usize) {
--- a/crates/standins/src/store.rs
+++ b/crates/standins/src/store.rs
@@ -29,10 +29,10 @@
 
 /// How the store responds to requests.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub enum Mood {
+pub enum ResponseMode {
     /// Serves requests.
     #[default]
-    Well,
+    Normal,
     /// Answers every request with this HTTP status.
     Refusing(u16),
     /// Accepts requests and never answers them.
@@ -54,8 +54,8 @@
     compacted_revision: u64,
     /// Items in one page of a range read.
     page_size: usize,
-    mood: Mood,
-    calls: u64,
+    response_mode: ResponseMode,
+    request_count: u64,
 }
 
 /// A running store; clones share its state.
@@ -79,8 +79,8 @@
             revision: 1,
             compacted_revision: 0,
             page_size: 500,
-            mood: Mood::Well,
-            calls: 0,
+            response_mode: ResponseMode::Normal,
+            request_count: 0,
         };
         let store = Self {
             address: listener.local_addr()?,
@@ -133,32 +133,32 @@
     }
 
     /// Sets the number of items in a page of a range read.
-    pub fn set_page(&self, items: usize) {
+    pub fn set_page_size(&self, items: usize) {
         self.state().page_size = items;
     }
 
     /// Sets how requests are answered from now on; a request that is being processed keeps the former behaviour.
-    pub fn set_mood(&self, mood: Mood) {
-        self.state().mood = mood;
+    pub fn set_response_mode(&self, response_mode: ResponseMode) {
+        self.state().response_mode = response_mode;
         self.changed.notify_waiters();
     }
 
-    /// Returns the number of requests received so far, whatever the [`Mood`].
+    /// Returns the number of requests received so far, whatever the [`ResponseMode`].
     #[must_use]
-    pub fn calls(&self) -> u64 {
-        self.state().calls
+    pub fn request_count(&self) -> u64 {
+        self.state().request_count
     }
 
     async fn handle_request(&self, req: &Request<Incoming>) -> Response<Full<Bytes>> {
-        let mood = {
+        let response_mode = {
             let mut state = self.state();
-            state.calls += 1;
-            state.mood
+            state.request_count += 1;
+            state.response_mode
         };
-        match mood {
-            Mood::Well => {}
-            Mood::Refusing(status) => return respond(status, &json!({})),
-            Mood::Silent => std::future::pending().await,
+        match response_mode {
+            ResponseMode::Normal => {}
+            ResponseMode::Refusing(status) => return respond(status, &json!({})),
+            ResponseMode::Silent => std::future::pending().await,
         }
         let query = parse_query(req.uri().query().unwrap_or_default());
         match req.uri().path() {
