--- a/crates/cli/src/demo/scenario.rs
+++ b/crates/cli/src/demo/scenario.rs
@@ -59,8 +59,13 @@
         breaches.extend(instance.dump().breaches.iter().map(|breach| format!("{breach:?}")));
     }
     let targets: Vec<Target> = cluster.targets.values().flatten().cloned().collect();
-    let report =
-        Report::new(&callers.counts.lock(), &targets, scenario.slowest_convergence, breaches, cluster.platform.reads());
+    let report = Report::new(
+        &callers.counts.lock(),
+        &targets,
+        scenario.slowest_convergence,
+        breaches,
+        cluster.platform.request_count(),
+    );
     for instance in std::mem::take(&mut cluster.instances).into_values() {
         instance.kill().await;
     }
--- a/crates/standins/src/platform.rs
+++ b/crates/standins/src/platform.rs
@@ -37,7 +37,7 @@
     values: Mutex<HashMap<String, VersionedEntry>>,
     changed: Notify,
     unavailable: AtomicBool,
-    reads: AtomicU64,
+    request_count: AtomicU64,
 }
 
 /// A running platform service; clones share its state.
@@ -75,15 +75,15 @@
     }
 
     /// Sets whether the platform answers every request with status 503.
-    pub fn set_down(&self, unavailable: bool) {
+    pub fn set_unavailable(&self, unavailable: bool) {
         self.state.unavailable.store(unavailable, Ordering::Relaxed);
         self.state.changed.notify_waiters();
     }
 
     /// Returns the number of requests received so far, refused ones included.
     #[must_use]
-    pub fn reads(&self) -> u64 {
-        self.state.reads.load(Ordering::Relaxed)
+    pub fn request_count(&self) -> u64 {
+        self.state.request_count.load(Ordering::Relaxed)
     }
 }
 
@@ -106,7 +106,7 @@
 }
 
 async fn handle_request(state: &State, request: Request<Incoming>) -> Response<Full<Bytes>> {
-    state.reads.fetch_add(1, Ordering::Relaxed);
+    state.request_count.fetch_add(1, Ordering::Relaxed);
     let resource = request.uri().path().trim_start_matches("/v1/").to_owned();
     let query = request.uri().query().unwrap_or_default();
     let after = query_number(query, "after");
--- a/tests/processes.rs
+++ b/tests/processes.rs
@@ -93,11 +93,11 @@
     system.processes[&1].signal("CONT");
     orders.extend(batch(&system, "thawed").await);
 
-    system.platform.set_down(true);
+    system.platform.set_unavailable(true);
     system.start_with(0, &["--peers".to_owned(), system.processes[&2].control.to_string()]);
     orders.extend(batch(&system, "platform-down").await);
     system.converge().await;
-    system.platform.set_down(false);
+    system.platform.set_unavailable(false);
 
     system.processes[&2].signal("TERM");
     orders.extend(batch(&system, "stopping").await);
@@ -202,14 +202,14 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_instance_starts_without_the_platform_and_is_ready_when_it_returns() {
     let mut system = TestSystem::new(4).await;
-    system.platform.set_down(true);
+    system.platform.set_unavailable(true);
     system.start(0);
     let ready = async || {
         let call = Call::get(system.processes[&0].admin, "/readyz", Duration::from_secs(2), 1 << 12);
         call.send().await.ok().map(|answer| answer.status.as_u16())
     };
     wait_for("the admin service", async || ready().await == Some(503)).await;
-    system.platform.set_down(false);
+    system.platform.set_unavailable(false);
     wait_for("readiness", async || ready().await == Some(200)).await;
     assert!(send_until_decided(&system, "late").await);
 }
