--- a/crates/cli/src/demo/cluster.rs
+++ b/crates/cli/src/demo/cluster.rs
@@ -253,7 +253,7 @@
         }
         self.publish()?;
         for target in self.targets_in(name) {
-            target.set_out(state == DomainState::Out);
+            target.set_domain_out(state == DomainState::Out);
         }
         Ok(())
     }
--- a/crates/cli/src/demo/report.rs
+++ b/crates/cli/src/demo/report.rs
@@ -83,7 +83,7 @@
             wrong_or_partial_answers: counts.wrong_or_partial_answers,
             cold_overloads: by_target.iter().map(|counts| counts.cold_overloads).sum(),
             slot_overruns: by_target.iter().map(|counts| counts.slot_overruns).sum(),
-            packets_to_out_domain_late: by_target.iter().map(|counts| counts.late_after_out).sum(),
+            packets_to_out_domain_late: by_target.iter().map(|counts| counts.arrived_after_evacuation).sum(),
             seconds_to_converge: slowest_convergence.as_secs_f64(),
             latency_ms_p50: percentile(&latencies, 50),
             latency_ms_p99: percentile(&latencies, 99),
--- a/crates/cli/src/demo/scenario.rs
+++ b/crates/cli/src/demo/scenario.rs
@@ -162,7 +162,7 @@
         self.begin_step(0.70, "failure domain sur is back in service with cold targets").await;
         for target in cluster.targets_in(OUT_DOMAIN).iter().filter(|target| target.name().contains("s-")) {
             if target.address() == target.health() {
-                target.chill();
+                target.make_cold();
             }
         }
         cluster.set_domain_state(OUT_DOMAIN, DomainState::InService)?;
@@ -179,7 +179,7 @@
 
     async fn drain_target(&mut self, cluster: &mut Cluster) -> Result<(), ClusterError> {
         if let Some(target) = cluster.targets["suscripciones"].last() {
-            target.leave();
+            target.start_leaving();
         }
         let group = cluster.set.target_groups.iter_mut().find(|group| group.name == "suscripciones");
         if let Some(target) = group.and_then(|group| group.targets.last_mut()) {
--- a/crates/standins/src/target.rs
+++ b/crates/standins/src/target.rs
@@ -62,7 +62,7 @@
     /// Packets, lines and requests addressed to another service.
     pub wrong_service: u64,
     /// Packets, lines and requests that arrived more than 3 s after the evacuation of its failure domain.
-    pub late_after_out: u64,
+    pub arrived_after_evacuation: u64,
     /// All packets, lines and requests that arrived.
     pub arrived: u64,
 }
@@ -180,19 +180,19 @@
     }
 
     /// Makes the target cold again.
-    pub fn chill(&self) {
+    pub fn make_cold(&self) {
         let mut inner = self.lock();
         inner.cold = true;
         inner.answered = 0;
     }
 
     /// Makes the health endpoint report the state `leaving`.
-    pub fn leave(&self) {
+    pub fn start_leaving(&self) {
         self.lock().leaving = true;
     }
 
     /// Records whether the target's failure domain is out of service from now on.
-    pub fn set_out(&self, out: bool) {
+    pub fn set_domain_out(&self, out: bool) {
         self.lock().domain_out_since = out.then(Instant::now);
     }
 
@@ -208,7 +208,7 @@
             inner.counts.wrong_service += 1;
         }
         if inner.domain_out_since.is_some_and(|since| since.elapsed() > EVACUATION_GRACE) {
-            inner.counts.late_after_out += 1;
+            inner.counts.arrived_after_evacuation += 1;
         }
     }
 
