--- a/crates/direct/src/callers.rs
+++ b/crates/direct/src/callers.rs
@@ -11,13 +11,13 @@
 use hawthornshift_core::direct::dispatcher::Packet;
 use hawthornshift_core::direct::segment::Segment;
 use hawthornshift_platform::packet;
-use hawthornshift_platform::packet::HEAD_BYTES;
+use hawthornshift_platform::packet::HEADER_BYTES;
 use hawthornshift_platform::packet::MAX_PAYLOAD_BYTES;
 use hawthornshift_platform::packet::PacketError;
 use hawthornshift_platform::packet::TARGET_ID_BYTES;
 
 /// Size of the receive buffer: the target id, a packet of maximum length, and one byte by which a longer one is detected.
-const BUFFER_BYTES: usize = TARGET_ID_BYTES + HEAD_BYTES + MAX_PAYLOAD_BYTES + 1;
+const BUFFER_BYTES: usize = TARGET_ID_BYTES + HEADER_BYTES + MAX_PAYLOAD_BYTES + 1;
 
 /// Counters of the callers' socket.
 #[derive(Clone, Debug, Default, Serialize)]
--- a/crates/soak/src/wire.rs
+++ b/crates/soak/src/wire.rs
@@ -7,7 +7,7 @@
 use std::net::Ipv4Addr;
 use std::net::SocketAddrV4;
 
-use hawthornshift_platform::packet::HEAD_BYTES;
+use hawthornshift_platform::packet::HEADER_BYTES;
 
 /// Flag: closes a flow.
 pub const FIN: u8 = 1;
@@ -77,7 +77,7 @@
     /// Decodes a packet; the second value is whether its checksum is correct. Returns `None` if the header is incomplete.
     #[must_use]
     pub fn decode(buf: &[u8]) -> Option<(Self, bool)> {
-        if buf.len() < HEAD_BYTES {
+        if buf.len() < HEADER_BYTES {
             return None;
         }
         let u16_at = |offset: usize| u16::from_le_bytes([buf[offset], buf[offset + 1]]);
@@ -90,7 +90,7 @@
             sequence: u32_at(24),
             acknowledged: u32_at(28),
             cookie: u32_at(32),
-            data: buf[HEAD_BYTES..].to_vec(),
+            data: buf[HEADER_BYTES..].to_vec(),
         };
         let intact = u32_at(0) == checksum(&packet.encode_without_checksum());
         Some((packet, intact))
