--- a/crates/cli/src/direct.rs
+++ b/crates/cli/src/direct.rs
@@ -133,7 +133,7 @@
         }
     };
     let config = Config {
-        metrics: SocketAddr::new(settings.platform.peers.ip(), settings.metrics_port),
+        metrics: SocketAddr::new(settings.platform.peer_address.ip(), settings.metrics_port),
         platform: settings.platform,
         settings_path: settings.path,
         incarnation: incarnation(),
--- a/crates/direct/src/process.rs
+++ b/crates/direct/src/process.rs
@@ -113,13 +113,13 @@
     /// Returns the error of the operating system if an address cannot be bound.
     pub async fn start(config: Config, cancel: CancellationToken) -> io::Result<Self> {
         let platform = &config.platform;
-        let id = fleet::instance_id(platform.peers);
+        let id = fleet::instance_id(platform.peer_address);
         let identity = Identity {
             id,
             incarnation: config.incarnation,
             failure_domain: platform.failure_domain.clone(),
-            control: platform.peers,
-            forward: platform.peers,
+            control: platform.peer_address,
+            forward: platform.peer_address,
         };
         let dispatcher = Dispatcher::new(DispatcherConfig {
             id,
@@ -133,7 +133,7 @@
         let handover_permits = Arc::new(Semaphore::new(MAX_CONCURRENT_HANDOVERS));
         let services = Services { ready: Arc::clone(&ready), tx: tx.clone(), handover_permits };
         let addresses =
-            [Some(platform.ready_address), Some(platform.peers), platform.control_address, Some(config.metrics)];
+            [Some(platform.ready_address), Some(platform.peer_address), platform.control_address, Some(config.metrics)];
         for address in addresses.into_iter().flatten() {
             http_server::serve(address, services.clone(), cancel.clone()).await?;
         }
@@ -147,7 +147,7 @@
             dispatcher,
             fleet: Fleet::new(Timestamp::ZERO, identity, &platform.seeds),
             callers: CallerSocket::bind(platform.packet_address).await?,
-            peers: PeerSocket::bind(platform.peers).await?,
+            peers: PeerSocket::bind(platform.peer_address).await?,
             group_addresses: Vec::new(),
             ready,
             reader_mode,
--- a/crates/direct/src/reload.rs
+++ b/crates/direct/src/reload.rs
@@ -43,8 +43,8 @@
             }
             Ok(settings) => {
                 let old = &self.settings;
-                let addresses_changed = (old.packet_address, old.ready_address, old.peers)
-                    != (settings.packet_address, settings.ready_address, settings.peers);
+                let addresses_changed = (old.packet_address, old.ready_address, old.peer_address)
+                    != (settings.packet_address, settings.ready_address, settings.peer_address);
                 info!(log, "settings reloaded"; "signalled" => signalled, "changed" => *old != settings);
                 if addresses_changed {
                     warn!(log, "addresses changed; they take effect at the next start");
