--- a/crates/cli/src/direct.rs
+++ b/crates/cli/src/direct.rs
@@ -137,7 +137,7 @@
         platform: settings.platform,
         settings_path: settings.path,
         incarnation: incarnation(),
-        log_rate: settings.log_rate,
+        max_log_lines_per_second: settings.log_rate,
         mechanisms: settings.mechanisms,
         log: log.clone(),
     };
--- a/crates/direct/src/config.rs
+++ b/crates/direct/src/config.rs
@@ -21,7 +21,7 @@
     /// Address on which metrics and the state dump are served over HTTP.
     pub metrics: SocketAddr,
     /// Maximum of log lines per second for decisions of one outcome.
-    pub log_rate: u32,
+    pub max_log_lines_per_second: u32,
     /// Mechanisms in use; single ones can be disabled for experiments.
     pub mechanisms: Mechanisms,
     /// Root logger of the process.
--- a/crates/direct/src/process.rs
+++ b/crates/direct/src/process.rs
@@ -153,7 +153,7 @@
             reader_mode,
             tx,
             rx,
-            decision_log: DecisionLog::new(config.log.clone(), config.log_rate),
+            decision_log: DecisionLog::new(config.log.clone(), config.max_log_lines_per_second),
             settings_reloader: SettingsReloader::new(&config.settings_path, config.platform.clone()),
             counts: ProcessCounts::default(),
             pause: PauseDetector::new(Timestamp::ZERO, time_of_day()),
