--- a/crates/soak/src/rig.rs
+++ b/crates/soak/src/rig.rs
@@ -118,7 +118,7 @@
     }
 
     /// Returns the exit status of a process that has exited without [`Instance::kill`]; `None` if it runs or was killed.
-    pub fn ended(&mut self) -> Option<std::process::ExitStatus> {
+    pub fn exit_status(&mut self) -> Option<std::process::ExitStatus> {
         self.child.as_mut()?.try_wait().ok().flatten()
     }
 
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -408,7 +408,7 @@
         }
         for instance in &self.instances {
             let mut instance = instance.lock().await;
-            if let Some(status) = instance.ended() {
+            if let Some(status) = instance.exit_status() {
                 let detail = format!("{} exited by itself: {status}", instance.name);
                 self.ledger.record_breach(Invariant::Recovery, detail);
             }
--- a/tests/direct.rs
+++ b/tests/direct.rs
@@ -96,7 +96,7 @@
     async fn exit_code(&mut self) -> Option<i32> {
         let deadline = Instant::now() + WAIT_TIMEOUT;
         loop {
-            if let Some(status) = self.instance.ended() {
+            if let Some(status) = self.instance.exit_status() {
                 return status.code();
             }
             assert!(Instant::now() < deadline, "the process does not end");
