--- a/ci/sites.sh
+++ b/ci/sites.sh
@@ -10,7 +10,7 @@
     awk '$3 == "current" { print $1 }' ci/regression.accepted
 }
 
-# Passes on the table of days and the gate, out of all that a score prints.
+# Prints only the table of days and the gate, out of all that a score prints.
 days_and_gate() {
     awk '$2 ~ /^[0-9]+\/[0-9]+$/ || /^GATE/'
 }
