--- a/crates/direct/src/decision_log.rs
+++ b/crates/direct/src/decision_log.rs
@@ -75,7 +75,7 @@
     fn start_window(&mut self, now: Timestamp) {
         for outcome in Outcome::iter().filter(|outcome| self.suppressed[outcome.index()] > 0) {
             let name: &str = outcome.into();
-            info!(self.log, "log lines suppressed"; "outcome" => name, "count" => self.suppressed[outcome.index()]);
+            info!(self.log, "lines left out"; "outcome" => name, "count" => self.suppressed[outcome.index()]);
         }
         self.window_end = now + RATE_WINDOW;
         self.written = [0; Outcome::COUNT];
--- a/crates/direct/src/process.rs
+++ b/crates/direct/src/process.rs
@@ -226,7 +226,7 @@
             return;
         }
         let now = self.now();
-        info!(self.log, "graceful stop started"; "grace_ms" => millis(self.config.platform.grace_period));
+        info!(self.log, "stopping as planned"; "grace_ms" => millis(self.config.platform.grace_period));
         self.ready.store(false, Ordering::Relaxed);
         self.stopping = Some(Stopping::new(now, self.config.platform.grace_period));
         self.fleet.leave(now);
--- a/crates/direct/src/process/store_updates.rs
+++ b/crates/direct/src/process/store_updates.rs
@@ -33,7 +33,7 @@
 
     pub(super) fn change_watcher_role(&mut self, change: RoleChange) {
         let watching = change == RoleChange::Start;
-        info!(self.log, "store watcher role changed"; "watching" => watching,
+        info!(self.log, "store duty"; "watching" => watching,
             "age_ms" => millis(self.fleet.watcher_role().age(self.now())));
         let after = if self.dispatcher.directory().is_synced() { self.dispatcher.directory().revision() } else { 0 };
         self.reader_mode.send_replace(if watching { StoreReaderMode::Watch { after } } else { StoreReaderMode::Idle });
@@ -67,10 +67,10 @@
         self.counts.store_answers += 1;
         self.counts.entries_refused += refused as u64;
         if refused > 0 {
-            warn!(self.log, "store entries refused"; "count" => refused, "revision" => delta.revision);
+            warn!(self.log, "entries refused"; "count" => refused, "revision" => delta.revision);
         }
         if std::mem::take(&mut self.is_store_unavailable) {
-            info!(self.log, "store available again"; "revision" => delta.revision);
+            info!(self.log, "store answers again"; "revision" => delta.revision);
         }
         self.fleet.watcher_role_mut().record_store_answer(now);
         self.apply_delta(now, delta, "store");
@@ -89,7 +89,7 @@
     pub(super) fn store_failed(&mut self, reason: &str) {
         self.counts.store_failures += 1;
         if !std::mem::replace(&mut self.is_store_unavailable, true) {
-            warn!(self.log, "store unavailable"; "reason" => reason);
+            warn!(self.log, "store lost"; "reason" => reason);
         }
     }
 
