--- a/crates/core/src/invariants.rs
+++ b/crates/core/src/invariants.rs
@@ -1,8 +1,7 @@
 //! Invariants, checked at run time.
 //!
 //! A violation is counted, reported in the state dump and as a metric, and fatal where debug assertions are enabled, as
-//! in tests. In production the instance continues and serves the callers that
-//! the violation does not affect.
+//! in tests. In production the instance continues and serves the callers that the violation does not affect.
 
 use serde::Serialize;
 use strum::Display;
--- a/crates/core/src/requests/mod.rs
+++ b/crates/core/src/requests/mod.rs
@@ -227,7 +227,8 @@
 
     /// Starts a request, or makes it wait until the view is confirmed.
     ///
-    /// A fenced instance cannot know whether a ticket has been redeemed, and a caller that receives "may have run" cannot safely retry; the fence is normally lifted within a fraction of a second.
+    /// A fenced instance cannot know whether a ticket has been redeemed, and a caller that receives "may have run" cannot
+    /// safely retry; the fence is normally lifted within a fraction of a second.
     fn start(&mut self, cx: &mut RequestContext<'_>, request: RequestId, ticket: Option<&str>) {
         let Some(entry) = self.entries.get_mut(&request) else { return };
         if cx.lease_state == LeaseState::Fenced && entry.role != Role::Coordinator {
