--- a/crates/core/tests/direct/rules.rs
+++ b/crates/core/tests/direct/rules.rs
@@ -88,8 +88,9 @@
     }
 }
 
-/// All targets of a service are cold, and 88 instances get SYNs for it, some of which do not know of the others. A
-/// cold target must not get more than five flows a second in all, or it fails under the load that was to warm it.
+/// All targets of a service are cold, and every instance gets SYNs for it, some of which do not know of the others. A
+/// deployment may have 88 instances; the test runs 24. A cold target must not get more than five flows a second in all,
+/// or it fails under the load that was to warm it.
 #[test]
 fn cold_targets_get_few_flows_across_all_instances() {
     let mut sim = Sim::new(11, 24, 4, 600.0);
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -22,7 +22,7 @@
 const DEFAULT_INSTANCES: usize = 6;
 /// Number of targets if `--targets` is not given.
 const DEFAULT_TARGETS: usize = 8;
-/// Requests per second if `--rate` is not given: a third of the capacity of the default number of targets.
+/// Requests per second if `--rate` is not given: about a ninth of the capacity of the default number of targets.
 const DEFAULT_RATE: f64 = 120.0;
 
 /// The command line is invalid.
@@ -59,7 +59,7 @@
         "",
         "sabotage",
         "invariant that a simulated caller or target violates, to prove that its check can fail",
-        "PROMISE",
+        "INVARIANT",
     );
     options.optflag("h", "help", "show this text");
     options
